--- a/crates/anvilhook-authority/src/sessions.rs
+++ b/crates/anvilhook-authority/src/sessions.rs
@@ -1,6 +1,6 @@
 //! The instance's own session: opened when it takes its first pool, renewed while it holds any.
 
-use anvilhook_core::leases::{LeaseOptions, OwnSession, SessionFate, SessionRef, SessionRow};
+use anvilhook_core::leases::{LeaseOptions, OwnSession, SessionRef, SessionRow, SessionStatus};
 use anvilhook_core::names::InstanceName;
 use anvilhook_core::units::{Clock, Millis};
 use anvilhook_platform::{Commit, Result, Table, Transaction};
@@ -80,7 +80,7 @@
         match standing {
             Ok(standing) => {
                 let standing = standing.as_ref().map(|stored| (&stored.value, stored.version));
-                if own.read_back(standing) == SessionFate::Goes {
+                if own.read_back(standing) == SessionStatus::Active {
                     self.own = Some(own);
                 }
                 Ok(())
--- a/crates/anvilhook-bench/src/policy/instances.rs
+++ b/crates/anvilhook-bench/src/policy/instances.rs
@@ -10,7 +10,8 @@
 use anvilhook_core::retries::{RetryBudget, RetryBudgetOptions};
 use anvilhook_core::roles::{PoolShape, WorkMeter, WorkSeen};
 use anvilhook_core::routing::{
-    CostOptions, LaneKeeper, Lanes, Phase, Placement, RouteRequest, RouteTable, UpstreamState, Work,
+    CostOptions, LaneBalancer, Lanes, Phase, Placement, RouteRequest, RouteTable, UpstreamState,
+    Work,
 };
 use anvilhook_core::units::{Millis, Tokens};
 use rand::SeedableRng;
@@ -67,7 +68,7 @@
     /// Its budget of retries.
     pub retries: RetryBudget,
     lanes: Arc<Lanes>,
-    lane_keeper: LaneKeeper,
+    lane_keeper: LaneBalancer,
     table: RouteTable,
     plain_table: RouteTable,
     prefixes: Arc<PrefixIndex>,
@@ -122,7 +123,7 @@
             sent: Vec::new(),
             retries: RetryBudget::new(&RetryBudgetOptions::default()),
             lanes,
-            lane_keeper: LaneKeeper::new(&PoolShape::default()),
+            lane_keeper: LaneBalancer::new(&PoolShape::default()),
             table,
             prefixes,
             followers: slots.map(CacheFollower::new).collect(),
--- a/crates/anvilhook-core/src/api_keys.rs
+++ b/crates/anvilhook-core/src/api_keys.rs
@@ -90,25 +90,25 @@
 
 impl std::error::Error for AccountError {}
 
-/// `AccountBook` is the client accounts of one configuration, found by their keys.
+/// `AccountRegistry` is the client accounts of one configuration, found by their keys.
 ///
 /// ```
-/// use anvilhook_core::api_keys::{AccountBook, ClientAccount, KeyHasher};
+/// use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 ///
-/// let mut book = AccountBook::new(KeyHasher::new([7; 32]));
+/// let mut book = AccountRegistry::new(KeyHasher::new([7; 32]));
 /// let account = ClientAccount { name: "kitchen".into(), priority: None };
 /// book.try_add(account.clone(), ["first", "second"]).unwrap();
 /// assert_eq!(book.account(&book.digest(b"second")).map(|one| &**one), Some(&account));
 /// assert_eq!(book.account(&book.digest(b"third")), None);
 /// ```
 #[derive(Clone, Debug)]
-pub struct AccountBook {
+pub struct AccountRegistry {
     hasher: KeyHasher,
     by_key: HashMap<KeyDigest, Arc<ClientAccount>>,
     names: HashSet<Arc<str>>,
 }
 
-impl AccountBook {
+impl AccountRegistry {
     /// Makes a book without accounts.
     pub fn new(hasher: KeyHasher) -> Self {
         Self { hasher, by_key: HashMap::new(), names: HashSet::new() }
@@ -160,7 +160,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{AccountBook, AccountError, ClientAccount, KeyHasher};
+    use super::{AccountError, AccountRegistry, ClientAccount, KeyHasher};
 
     fn account(name: &str) -> ClientAccount {
         ClientAccount { name: name.into(), priority: None }
@@ -169,7 +169,7 @@
     /// Whoever has the key of two accounts would be billed to either.
     #[test]
     fn verify_a_key_belongs_to_one_account() {
-        let mut book = AccountBook::new(KeyHasher::new([1; 32]));
+        let mut book = AccountRegistry::new(KeyHasher::new([1; 32]));
         book.try_add(account("a"), ["one", "one"]).expect("a key may stand twice");
 
         assert_eq!(book.try_add(account("b"), ["two", "one"]), Err(AccountError::KeyTaken(1)));
@@ -180,7 +180,7 @@
     /// An account without keys must not be reached by no key.
     #[test]
     fn verify_an_account_without_keys_lets_nobody_in() {
-        let mut book = AccountBook::new(KeyHasher::new([1; 32]));
+        let mut book = AccountRegistry::new(KeyHasher::new([1; 32]));
         book.try_add(account("a"), []).expect("its last key was withdrawn");
 
         assert_eq!(book.account(&book.digest(b"")), None);
--- a/crates/anvilhook-core/src/authority/decisions.rs
+++ b/crates/anvilhook-core/src/authority/decisions.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use super::rows::PoolRow;
-use super::settling::{Fate, GivenOrder, SettleOptions, settle};
+use super::settling::{GivenOrder, OrderStatus, SettleOptions, settle};
 use crate::drains::{DrainCause, DrainProgress};
 use crate::names::{InstanceName, UpstreamName};
 use crate::orders::{EngineState, Order, StampedOrder, Term};
@@ -111,13 +111,13 @@
 
     match row.open.get(facts.engine) {
         Some(open) => match settle(row, open, facts, options) {
-            Fate::Running => Decision::Wait(Wait::OrderRunning),
-            Fate::InDoubt(until) => Decision::Wait(Wait::OrderInDoubt(until)),
-            Fate::AwaitingSenders(names) => Decision::Wait(Wait::Predecessor(names)),
-            Fate::Ended => Decision::Close,
+            OrderStatus::Running => Decision::Wait(Wait::OrderRunning),
+            OrderStatus::InDoubt(until) => Decision::Wait(Wait::OrderInDoubt(until)),
+            OrderStatus::AwaitingSenders(names) => Decision::Wait(Wait::Predecessor(names)),
+            OrderStatus::Ended => Decision::Close,
             _ if !facts.may_order => Decision::Wait(Wait::LeaseEnding),
-            Fate::Unfenced => Decision::Record(open.order.clone()),
-            Fate::NotGiven => Decision::Give(open.stamped()),
+            OrderStatus::Unfenced => Decision::Record(open.order.clone()),
+            OrderStatus::NotGiven => Decision::Give(open.stamped()),
         },
         None => decide_next(row, facts),
     }
--- a/crates/anvilhook-core/src/authority/mod.rs
+++ b/crates/anvilhook-core/src/authority/mod.rs
@@ -17,4 +17,4 @@
 pub use load_slots::{LoadSlot, LoadSlots};
 pub use owners::{Claim, ClaimRefusal, EngineOwner, OrderTarget};
 pub use rows::{OpenOrder, PoolRow, SessionView, TakeRefusal};
-pub use settling::{Fate, GivenOrder, OrderCall, SettleOptions, settle};
+pub use settling::{GivenOrder, OrderCall, OrderStatus, SettleOptions, settle};
--- a/crates/anvilhook-core/src/authority/settling.rs
+++ b/crates/anvilhook-core/src/authority/settling.rs
@@ -46,9 +46,9 @@
     pub call: OrderCall,
 }
 
-/// `Fate` says what is known of an open order.
+/// `OrderStatus` says what is known of an open order.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
-pub enum Fate {
+pub enum OrderStatus {
     /// This holder has recorded it and not given it yet.
     NotGiven,
     /// The engine carries it out.
@@ -70,9 +70,9 @@
     open: &OpenOrder,
     facts: &EngineFacts<'_>,
     options: &SettleOptions,
-) -> Fate {
+) -> OrderStatus {
     if facts.state.running_order.is_some() {
-        return Fate::Running;
+        return OrderStatus::Running;
     }
 
     let at_large: BTreeSet<InstanceName> =
@@ -83,22 +83,22 @@
         // are fenced off at an engine that checks, and may still arrive at one that does not.
         let fenced_off = facts.fencing == Fencing::Checks;
         if sole_sender || fenced_off {
-            return Fate::Ended;
+            return OrderStatus::Ended;
         }
         if at_large.is_empty() {
             return in_doubt(facts.uncleared_since, facts, options);
         }
-        return Fate::AwaitingSenders(at_large);
+        return OrderStatus::AwaitingSenders(at_large);
     }
 
     let given = facts.given.filter(|given| given.stamp == open.stamp);
     if open.stamp.term == row.term && given.is_none() {
-        return Fate::NotGiven;
+        return OrderStatus::NotGiven;
     }
     if !at_large.is_empty() {
         return match facts.fencing {
-            Fencing::Checks => Fate::Unfenced,
-            Fencing::Ignores => Fate::AwaitingSenders(at_large),
+            Fencing::Checks => OrderStatus::Unfenced,
+            Fencing::Ignores => OrderStatus::AwaitingSenders(at_large),
         };
     }
 
@@ -106,7 +106,7 @@
     let others_gave_up_at = facts.uncleared_since;
     match given.map(|given| given.call) {
         // The engine accepted it and yet shows nothing of it: its process was started anew.
-        Some(OrderCall::Accepted | OrderCall::NotTaken) if sole_sender => Fate::Ended,
+        Some(OrderCall::Accepted | OrderCall::NotTaken) if sole_sender => OrderStatus::Ended,
         Some(OrderCall::InDoubt(gave_up_at)) => {
             in_doubt(gave_up_at.max(others_gave_up_at), facts, options)
         }
@@ -114,8 +114,8 @@
     }
 }
 
-fn in_doubt(since: Millis, facts: &EngineFacts<'_>, options: &SettleOptions) -> Fate {
+fn in_doubt(since: Millis, facts: &EngineFacts<'_>, options: &SettleOptions) -> OrderStatus {
     let until = since + options.delivery_bound_ms;
     // The state must have been read after the last time at which the order could arrive.
-    if facts.read_at < until { Fate::InDoubt(until) } else { Fate::Ended }
+    if facts.read_at < until { OrderStatus::InDoubt(until) } else { OrderStatus::Ended }
 }
--- a/crates/anvilhook-core/src/leases/mod.rs
+++ b/crates/anvilhook-core/src/leases/mod.rs
@@ -15,5 +15,5 @@
 mod watches;
 
 pub use options::LeaseOptions;
-pub use sessions::{OwnSession, SessionFate, SessionRef, SessionRow};
+pub use sessions::{OwnSession, SessionRef, SessionRow, SessionStatus};
 pub use watches::Watch;
--- a/crates/anvilhook-core/src/leases/sessions.rs
+++ b/crates/anvilhook-core/src/leases/sessions.rs
@@ -48,11 +48,11 @@
     }
 }
 
-/// `SessionFate` is what an instance learns of its session by reading it.
+/// `SessionStatus` is what an instance learns of its session by reading it.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum SessionFate {
+pub enum SessionStatus {
     /// It goes on.
-    Goes,
+    Active,
     /// It has ended, and with it all that the instance held.
     Ended,
 }
@@ -133,22 +133,26 @@
     }
 
     /// Notes the row as it was read after a lost answer or a conflict.
-    pub fn read_back(&mut self, standing: Option<(&SessionRow, u64)>) -> SessionFate {
+    pub fn read_back(&mut self, standing: Option<(&SessionRow, u64)>) -> SessionStatus {
         let Some((row, version)) = standing else {
             // The opening has not taken effect, and may still be sent again. A row that was there
             // and is gone was ended and cleared away.
-            return if self.good_from.is_none() { SessionFate::Goes } else { SessionFate::Ended };
+            return if self.good_from.is_none() {
+                SessionStatus::Active
+            } else {
+                SessionStatus::Ended
+            };
         };
         if self.pending.as_ref().is_some_and(|pending| pending.row == *row) {
             self.confirm();
             self.version = Some(version);
-            return SessionFate::Goes;
+            return SessionStatus::Active;
         }
         if Some(version) == self.version && (row.keeps(self.session()) || self.good_from.is_none())
         {
-            return SessionFate::Goes;
+            return SessionStatus::Active;
         }
-        SessionFate::Ended
+        SessionStatus::Ended
     }
 
     /// Returns until when the session holds, on this instance's clock.
--- a/crates/anvilhook-core/src/limits/accounts.rs
+++ b/crates/anvilhook-core/src/limits/accounts.rs
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Sets the share that `ShareKeeper` has worked out.
+    /// Sets the share that `ShareAllocator` has worked out.
     pub fn set_share(&self, share: AccountShare, now: Millis) {
         self.is_set.store(true, Ordering::Release);
         self.store_share(share);
--- a/crates/anvilhook-core/src/limits/mod.rs
+++ b/crates/anvilhook-core/src/limits/mod.rs
@@ -11,7 +11,7 @@
 mod shares;
 
 pub use accounts::{AccountLimiter, LimitRefusal, LimitedBy};
-pub use shares::{AccountDemand, AccountShare, PeerDemand, ShareKeeper};
+pub use shares::{AccountDemand, AccountShare, PeerDemand, ShareAllocator};
 
 use crate::units::Millis;
 
--- a/crates/anvilhook-core/src/limits/shares.rs
+++ b/crates/anvilhook-core/src/limits/shares.rs
@@ -65,21 +65,21 @@
     pub hears_all: bool,
 }
 
-/// `ShareKeeper` works out one instance's share of one account's limits.
+/// `ShareAllocator` works out one instance's share of one account's limits.
 ///
 /// All instances use the same function of the same digests, so their shares add up to the limit
 /// while they agree. Where they don't yet agree, two rules keep the sum down: a share shrinks at
 /// once but grows only after `LimitOptions::settle`, and as long as any instance cannot hear
 /// another, none takes more than an equal share.
 #[derive(Debug)]
-pub struct ShareKeeper {
+pub struct ShareAllocator {
     spec: AccountSpec,
     options: LimitOptions,
     // Shares worked out within the last `settle`, the oldest first.
     recent: VecDeque<(Millis, AccountShare)>,
 }
 
-impl ShareKeeper {
+impl ShareAllocator {
     /// Makes a keeper that has heard nothing yet.
     pub fn new(spec: AccountSpec, options: &LimitOptions) -> Self {
         Self { spec, options: *options, recent: VecDeque::new() }
--- a/crates/anvilhook-core/src/pacing.rs
+++ b/crates/anvilhook-core/src/pacing.rs
@@ -134,9 +134,9 @@
     }
 }
 
-/// `Places` is what is believed of the places of the generator that was chosen.
+/// `Slots` is what is believed of the places of the generator that was chosen.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct Places {
+pub struct Slots {
     /// How many streams it runs at once.
     pub slots: u32,
     /// How many it has in flight.
@@ -150,24 +150,24 @@
 /// be on time, then the rest.
 ///
 /// ```
-/// use anvilhook_core::pacing::{Pace, Places, Waiting, pace_generating};
+/// use anvilhook_core::pacing::{Pace, Slots, Waiting, pace_generating};
 /// use anvilhook_core::units::Millis;
 ///
 /// let early = Waiting { age: Millis(50), objective: Millis(250), patience: Millis(2_000) };
 /// let late = Waiting { age: Millis(300), ..early };
-/// let places = Places { slots: 64, in_flight: 62 };
+/// let places = Slots { slots: 64, in_flight: 62 };
 /// assert_eq!(pace_generating(&early, 40.0, 1_500.0, places), Pace::Free);
 /// assert_eq!(pace_generating(&late, 40.0, 1_500.0, places), Pace::Hold);
 /// let due = Waiting { age: Millis(1_800), ..early };
 /// assert_eq!(pace_generating(&due, 40.0, 1_500.0, places), Pace::Due);
-/// let full = Places { in_flight: 64, ..places };
+/// let full = Slots { in_flight: 64, ..places };
 /// assert_eq!(pace_generating(&due, 40.0, 1_500.0, full), Pace::Hopeless);
 /// ```
 pub fn pace_generating(
     waiting: &Waiting,
     first_event_ms: f64,
     output_ms: f64,
-    places: Places,
+    places: Slots,
 ) -> Pace {
     if waiting.has_lost_its_caller() {
         return Pace::Hopeless;
--- a/crates/anvilhook-core/src/quarantine.rs
+++ b/crates/anvilhook-core/src/quarantine.rs
@@ -48,9 +48,9 @@
     }
 }
 
-/// `Standing` is what is held of a request.
+/// `SuspectStatus` is what is held of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Standing {
+pub enum SuspectStatus {
     /// Nothing speaks against it.
     Clear,
     /// So many engines ended while they ran it, too few to tell.
@@ -59,40 +59,40 @@
     Quarantined,
 }
 
-/// `End` is the end of an engine under a request.
+/// `EngineEnd` is the end of an engine under a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct End {
+pub struct EngineEnd {
     /// The short form of the engine's id and start.
     pub engine: u32,
     /// When it was noted.
     pub at: Millis,
 }
 
-/// `QuarantineBook` is what one instance holds of requests, by what it has seen itself and was told.
+/// `QuarantineTracker` is what one instance holds of requests, by what it has seen itself and was told.
 ///
 /// ```
 /// use anvilhook_core::fingerprints::Fingerprint;
-/// use anvilhook_core::quarantine::{End, QuarantineBook, QuarantineOptions, Standing};
+/// use anvilhook_core::quarantine::{EngineEnd, QuarantineTracker, QuarantineOptions, SuspectStatus};
 /// use anvilhook_core::units::Millis;
 ///
 /// let request = Fingerprint(7);
-/// let mut book = QuarantineBook::new(QuarantineOptions::default());
+/// let mut book = QuarantineTracker::new(QuarantineOptions::default());
 /// for engine in 1..=3 {
-///     book.record_end(request, End { engine, at: Millis(0) }, Millis(0));
+///     book.record_end(request, EngineEnd { engine, at: Millis(0) }, Millis(0));
 /// }
-/// assert_eq!(book.standing(request, Millis(1)), Standing::Quarantined);
-/// book.record_well(request, Millis(2));
-/// assert_eq!(book.standing(request, Millis(3)), Standing::Clear);
+/// assert_eq!(book.status(request, Millis(1)), SuspectStatus::Quarantined);
+/// book.record_success(request, Millis(2));
+/// assert_eq!(book.status(request, Millis(3)), SuspectStatus::Clear);
 /// ```
 #[derive(Debug)]
-pub struct QuarantineBook {
+pub struct QuarantineTracker {
     options: QuarantineOptions,
     suspects: HashMap<Fingerprint, Suspect>,
     /// When runs ended well of late, by request and in order.
     well: HashMap<Fingerprint, Millis>,
     well_order: VecDeque<(Fingerprint, Millis)>,
     /// The engines that ended of late, whatever ran there.
-    ended: VecDeque<End>,
+    ended: VecDeque<EngineEnd>,
     /// When suspects were cleared. Ends of before are still told on by those who have not heard it.
     cleared: HashMap<Fingerprint, Millis>,
 }
@@ -100,7 +100,7 @@
 /// `Suspect` is what speaks against a request.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
-    ends: Vec<End>,
+    ends: Vec<EngineEnd>,
     /// When an engine last ended under it, or it last came while quarantined.
     seen_at: Millis,
     /// The engine by whose end it was quarantined, if it was.
@@ -110,34 +110,34 @@
 impl Suspect {
     /// Returns whether its run explains the end of an engine, so that it speaks against no other request.
     /// Whatever also ran at the engine by which it was quarantined may be the cause as well.
-    fn explains(&self, end: &End, newest: u32) -> bool {
+    fn explains(&self, end: &EngineEnd, newest: u32) -> bool {
         self.quarantined_by.is_some_and(|engine| engine != newest)
             && self.ends.iter().any(|own| own.engine == end.engine)
     }
 }
 
-/// `TrialPlace` is where a suspect is tried among others that ran at the same engines as they ended.
+/// `TrialSlot` is where a suspect is tried among others that ran at the same engines as they ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct TrialPlace {
+pub struct TrialSlot {
     index: usize,
     count: usize,
 }
 
-impl TrialPlace {
+impl TrialSlot {
     /// Returns whether it may be tried at an upstream now. `upstream` is a number that all instances have for
     /// the upstream, and `time` one that they agree on.
     ///
     /// ```
     /// use anvilhook_core::fingerprints::Fingerprint;
-    /// use anvilhook_core::quarantine::{End, QuarantineBook, QuarantineOptions};
+    /// use anvilhook_core::quarantine::{EngineEnd, QuarantineTracker, QuarantineOptions};
     /// use anvilhook_core::units::{Millis, WallTime};
     ///
-    /// let mut book = QuarantineBook::new(QuarantineOptions::default());
+    /// let mut book = QuarantineTracker::new(QuarantineOptions::default());
     /// for (engine, request) in [(1, 7), (1, 8), (2, 7), (2, 8)] {
-    ///     book.record_end(Fingerprint(request), End { engine, at: Millis(0) }, Millis(0));
+    ///     book.record_end(Fingerprint(request), EngineEnd { engine, at: Millis(0) }, Millis(0));
     /// }
     /// let allowed = |request, time| {
-    ///     let place = book.trial_place(Fingerprint(request), Millis(0)).unwrap();
+    ///     let place = book.trial_slot(Fingerprint(request), Millis(0)).unwrap();
     ///     [0, 1].map(|upstream| place.allows(upstream, WallTime(time)))
     /// };
     /// assert_eq!((allowed(7, 0), allowed(8, 0)), ([true, false], [false, true]));
@@ -152,9 +152,9 @@
     }
 }
 
-/// `Weighed` is what became of an end that was noted.
+/// `EndOutcome` is what became of an end that was noted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Weighed {
+pub enum EndOutcome {
     /// It was known, or the request's runs end well.
     Ignored,
     /// It counts; the request is suspected.
@@ -165,7 +165,7 @@
     Explained,
 }
 
-impl QuarantineBook {
+impl QuarantineTracker {
     /// Makes a book that suspects nothing.
     pub fn new(options: QuarantineOptions) -> Self {
         Self {
@@ -179,11 +179,11 @@
     }
 
     /// Returns what is held of a request.
-    pub fn standing(&self, request: Fingerprint, now: Millis) -> Standing {
+    pub fn status(&self, request: Fingerprint, now: Millis) -> SuspectStatus {
         match self.suspect(request, now) {
-            None => Standing::Clear,
-            Some(suspect) if suspect.quarantined_by.is_some() => Standing::Quarantined,
-            Some(suspect) => Standing::Suspected(suspect.ends.len()),
+            None => SuspectStatus::Clear,
+            Some(suspect) if suspect.quarantined_by.is_some() => SuspectStatus::Quarantined,
+            Some(suspect) => SuspectStatus::Suspected(suspect.ends.len()),
         }
     }
 
@@ -193,10 +193,10 @@
     /// Of a service with two upstreams both go each time, and whatever was tried beside the cause meets as
     /// many ends. All instances that know the same ends keep such suspects apart alike: each has its turn at
     /// each upstream, also if only one is left.
-    pub fn trial_place(&self, request: Fingerprint, now: Millis) -> Option<TrialPlace> {
+    pub fn trial_slot(&self, request: Fingerprint, now: Millis) -> Option<TrialSlot> {
         let rivals = self.rivals(request, now);
         let index = rivals.iter().position(|rival| *rival == request)?;
-        (rivals.len() > 1).then_some(TrialPlace { index, count: rivals.len() })
+        (rivals.len() > 1).then_some(TrialSlot { index, count: rivals.len() })
     }
 
     /// Returns the suspects that ran at all the engines which ended under one of them, itself included, in
@@ -206,9 +206,10 @@
         if own.len() < TRIED_APART_ENDS {
             return Vec::new();
         }
-        let ran_there =
-            |ends: &[End]| own.iter().all(|own| ends.iter().any(|end| end.engine == own.engine));
-        let is_open = |rival| self.standing(rival, now) != Standing::Quarantined;
+        let ran_there = |ends: &[EngineEnd]| {
+            own.iter().all(|own| ends.iter().any(|end| end.engine == own.engine))
+        };
+        let is_open = |rival| self.status(rival, now) != SuspectStatus::Quarantined;
         let rivals = self.suspects(now).filter(|(_, ends)| ran_there(ends));
         let mut rivals: Vec<_> =
             rivals.map(|(rival, _)| rival).filter(|one| is_open(*one)).collect();
@@ -223,13 +224,13 @@
     pub fn needed_ends(&self, request: Fingerprint, now: Millis) -> usize {
         let own = self.ends(request, now);
         let since = own.iter().map(|end| end.at).min().unwrap_or(now);
-        let is_own = |end: &End| own.iter().any(|one| one.engine == end.engine);
+        let is_own = |end: &EngineEnd| own.iter().any(|one| one.engine == end.engine);
         let others = self.ended.iter().filter(|end| end.at >= since && !is_own(end)).count();
         if others * 2 > own.len() { self.options.ends_among_others } else { self.options.ends }
     }
 
-    fn note_ended(&mut self, end: End, now: Millis) {
-        let is_old = |one: &End| one.at + self.options.clearance <= now;
+    fn note_ended(&mut self, end: EngineEnd, now: Millis) {
+        let is_old = |one: &EngineEnd| one.at + self.options.clearance <= now;
         while self.ended.front().is_some_and(is_old) || self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
         }
@@ -239,7 +240,7 @@
     }
 
     /// Returns the ends that speak against a request.
-    pub fn ends(&self, request: Fingerprint, now: Millis) -> &[End] {
+    pub fn ends(&self, request: Fingerprint, now: Millis) -> &[EngineEnd] {
         self.suspect(request, now).map_or(&[], |suspect| &suspect.ends)
     }
 
@@ -249,12 +250,12 @@
 
     /// Notes that an engine has ended while it ran a request. Engines that end several times do so under
     /// other short forms.
-    pub fn record_end(&mut self, request: Fingerprint, end: End, now: Millis) -> Weighed {
+    pub fn record_end(&mut self, request: Fingerprint, end: EngineEnd, now: Millis) -> EndOutcome {
         self.expire(now);
         self.note_ended(end, now);
         let is_cleared = self.cleared.get(&request).is_some_and(|at| end.at <= *at);
-        if is_cleared || self.ran_well_of_late(request, now) {
-            return Weighed::Ignored;
+        if is_cleared || self.has_recent_success(request, now) {
+            return EndOutcome::Ignored;
         }
         if !self.suspects.contains_key(&request) {
             self.make_room();
@@ -262,23 +263,23 @@
         let suspect = self.suspects.entry(request).or_default();
         let is_known = suspect.ends.iter().any(|known| known.engine == end.engine);
         if is_known || suspect.ends.len() >= MAX_ENDS {
-            return Weighed::Ignored;
+            return EndOutcome::Ignored;
         }
         suspect.ends.push(end);
         suspect.seen_at = now;
         let was_quarantined = suspect.quarantined_by.is_some();
         self.explain_away(end.engine);
         if was_quarantined {
-            return Weighed::Explained;
+            return EndOutcome::Explained;
         }
         let needed = self.needed_ends(request, now);
         match self.suspects.get_mut(&request) {
             Some(suspect) if suspect.ends.len() >= needed => {
                 suspect.quarantined_by = Some(end.engine);
-                Weighed::Quarantined
+                EndOutcome::Quarantined
             }
-            Some(_) => Weighed::Counted,
-            None => Weighed::Ignored,
+            Some(_) => EndOutcome::Counted,
+            None => EndOutcome::Ignored,
         }
     }
 
@@ -292,7 +293,8 @@
         if quarantined.is_empty() {
             return;
         }
-        let is_explained = |end: &End| quarantined.iter().any(|cause| cause.explains(end, newest));
+        let is_explained =
+            |end: &EngineEnd| quarantined.iter().any(|cause| cause.explains(end, newest));
         self.suspects.retain(|_, suspect| {
             if suspect.quarantined_by.is_none() {
                 suspect.ends.retain(|end| !is_explained(end));
@@ -302,7 +304,7 @@
     }
 
     /// Notes that a request's run has ended well, which clears it. Returns whether it was suspected.
-    pub fn record_well(&mut self, request: Fingerprint, now: Millis) -> bool {
+    pub fn record_success(&mut self, request: Fingerprint, now: Millis) -> bool {
         while let Some((oldest, at)) = self.well_order.front().copied()
             && (at + self.options.clearance <= now || self.well_order.len() >= self.options.most)
         {
@@ -317,7 +319,7 @@
     }
 
     /// Returns whether a run of the request has ended well so shortly ago that it is beyond suspicion.
-    pub fn ran_well_of_late(&self, request: Fingerprint, now: Millis) -> bool {
+    pub fn has_recent_success(&self, request: Fingerprint, now: Millis) -> bool {
         self.well.get(&request).is_some_and(|at| *at + self.options.clearance > now)
     }
 
@@ -338,7 +340,7 @@
     }
 
     /// Returns the suspected requests with the ends that speak against them.
-    pub fn suspects(&self, now: Millis) -> impl Iterator<Item = (Fingerprint, &[End])> {
+    pub fn suspects(&self, now: Millis) -> impl Iterator<Item = (Fingerprint, &[EngineEnd])> {
         let current = self.suspects.iter().filter(move |(_, one)| self.is_current(one, now));
         current.map(|(request, suspect)| (*request, suspect.ends.as_slice()))
     }
--- a/crates/anvilhook-core/src/routing/lanes.rs
+++ b/crates/anvilhook-core/src/routing/lanes.rs
@@ -73,15 +73,15 @@
     }
 }
 
-/// `LaneKeeper` moves the border with the mix.
+/// `LaneBalancer` moves the border with the mix.
 #[derive(Clone, Debug)]
-pub struct LaneKeeper {
+pub struct LaneBalancer {
     shape: PoolShape,
     seen: Option<WorkSeen>,
     border: Option<f64>,
 }
 
-impl LaneKeeper {
+impl LaneBalancer {
     /// Makes a keeper for a pool.
     pub fn new(shape: &PoolShape) -> Self {
         Self { shape: *shape, seen: None, border: None }
--- a/crates/anvilhook-core/src/routing/mod.rs
+++ b/crates/anvilhook-core/src/routing/mod.rs
@@ -13,7 +13,7 @@
 mod upstreams;
 
 pub use costs::{CostOptions, Estimate, Phase, estimate};
-pub use lanes::{LaneKeeper, Lanes};
+pub use lanes::{LaneBalancer, Lanes};
 pub use loads::{Load, Speeds};
 pub use readings::{ReadingOptions, ReadingSchedule};
 pub use tables::{Candidate, Placement, RouteRequest, RouteTable};
--- a/crates/anvilhook-core/src/stops.rs
+++ b/crates/anvilhook-core/src/stops.rs
@@ -20,9 +20,9 @@
     pub ends_at: Millis,
 }
 
-/// `Taking` is whether an instance that stops takes a request on, and why.
+/// `Acceptance` is whether an instance that stops takes a request on, and why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Taking {
+pub enum Acceptance {
     /// It does: the caller's own limit is over before the instance ends.
     Bounded,
     /// It does: the request is expected to end in time, and not everybody knows of the stop yet.
@@ -31,13 +31,13 @@
     Refused,
 }
 
-impl Taking {
+impl Acceptance {
     /// Returns the name for logs.
     pub fn as_str(self) -> &'static str {
         match self {
-            Taking::Bounded => "bounded",
-            Taking::Expected => "expected",
-            Taking::Refused => "refused",
+            Acceptance::Bounded => "bounded",
+            Acceptance::Expected => "expected",
+            Acceptance::Refused => "refused",
         }
     }
 }
@@ -52,22 +52,26 @@
     /// expectation the answer.
     ///
     /// ```
-    /// use anvilhook_core::stops::{Stop, Taking};
+    /// use anvilhook_core::stops::{Stop, Acceptance};
     /// use anvilhook_core::units::Millis;
     ///
     /// let stop = Stop { noticed_at: Millis(2_000), ends_at: Millis(7_000) };
     /// let (short, long) = (Millis(4_500), Millis(9_000));
-    /// assert_eq!(stop.weigh(Millis(3_000), short, None), Taking::Bounded);
-    /// assert_eq!(stop.weigh(Millis(3_000), long, Some(100.0)), Taking::Refused);
-    /// assert_eq!(stop.weigh(Millis(1_000), long, Some(100.0)), Taking::Expected);
-    /// assert_eq!(stop.weigh(Millis(1_000), long, None), Taking::Refused);
+    /// assert_eq!(stop.decide(Millis(3_000), short, None), Acceptance::Bounded);
+    /// assert_eq!(stop.decide(Millis(3_000), long, Some(100.0)), Acceptance::Refused);
+    /// assert_eq!(stop.decide(Millis(1_000), long, Some(100.0)), Acceptance::Expected);
+    /// assert_eq!(stop.decide(Millis(1_000), long, None), Acceptance::Refused);
     /// ```
-    pub fn weigh(&self, now: Millis, limit_at: Millis, expected_ms: Option<f64>) -> Taking {
+    pub fn decide(&self, now: Millis, limit_at: Millis, expected_ms: Option<f64>) -> Acceptance {
         if limit_at <= self.ends_at {
-            return Taking::Bounded;
+            return Acceptance::Bounded;
         }
         let is_expected = expected_ms.is_some_and(|ms| self.ends_in_time(now, ms));
-        if now < self.noticed_at && is_expected { Taking::Expected } else { Taking::Refused }
+        if now < self.noticed_at && is_expected {
+            Acceptance::Expected
+        } else {
+            Acceptance::Refused
+        }
     }
 
     /// Returns whether a request that begins now and is expected to take `expected_ms` is whole before
--- a/crates/anvilhook-core/src/usage.rs
+++ b/crates/anvilhook-core/src/usage.rs
@@ -106,27 +106,27 @@
     }
 }
 
-/// `UsageBook` is what one instance knows of all instances' usage.
+/// `UsageCounters` is what one instance knows of all instances' usage.
 ///
 /// ```
-/// use anvilhook_core::usage::{AccountCode, Source, UsageBook};
+/// use anvilhook_core::usage::{AccountCode, Source, UsageCounters};
 ///
 /// let (kitchen, own) = (AccountCode(1), Source::Instance { zone: 1, number: 7 });
-/// let mut book = UsageBook::new();
+/// let mut book = UsageCounters::new();
 /// book.count(own, kitchen, 40);
 /// let told = book.take_changes(10);
-/// book.take_in(Source::Instance { zone: 2, number: 8 }, &told, 40);
-/// book.take_in(Source::Instance { zone: 2, number: 8 }, &told, 40);
+/// book.merge(Source::Instance { zone: 2, number: 8 }, &told, 40);
+/// book.merge(Source::Instance { zone: 2, number: 8 }, &told, 40);
 /// assert_eq!(book.totals(40)[&kitchen], 2);
 /// ```
 #[derive(Debug, Default)]
-pub struct UsageBook {
+pub struct UsageCounters {
     windows: BTreeMap<u64, HashMap<u32, ZoneUsage>>,
     own: BTreeMap<u64, BTreeMap<AccountCode, u32>>,
     changed: BTreeSet<(u64, AccountCode)>,
 }
 
-impl UsageBook {
+impl UsageCounters {
     /// Makes a book in which nothing is counted.
     pub fn new() -> Self {
         Self::default()
@@ -143,7 +143,7 @@
     }
 
     /// Takes in what somebody has counted. `current` is the window now; what is far from it is not kept.
-    pub fn take_in(&mut self, from: Source, told: &[WindowCounts], current: u64) {
+    pub fn merge(&mut self, from: Source, told: &[WindowCounts], current: u64) {
         let kept = current.saturating_sub(KEPT_WINDOWS)..=current.saturating_add(1);
         for WindowCounts { window, counts } in told {
             if kept.contains(window) {
@@ -208,7 +208,7 @@
     }
 
     /// Has the own sums of a window told again, in case that some were lost; `None` for those of all.
-    pub fn tell_again(&mut self, window: Option<u64>) {
+    pub fn resend(&mut self, window: Option<u64>) {
         let all = self.own.iter().filter(|(one, _)| window.is_none_or(|window| **one == window));
         let changes = all.flat_map(|(one, counts)| counts.keys().map(|account| (*one, *account)));
         self.changed.extend(changes);
@@ -235,7 +235,7 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{AccountCode, KEPT_WINDOWS, Source, UsageBook, WindowCounts};
+    use super::{AccountCode, KEPT_WINDOWS, Source, UsageCounters, WindowCounts};
 
     const KITCHEN: AccountCode = AccountCode(1);
     const OWN: Source = Source::Instance { zone: 1, number: 1 };
@@ -247,9 +247,9 @@
     /// News that comes doubled, late or out of order makes a report wrong.
     #[test]
     fn verify_old_and_doubled_news_change_nothing() {
-        let (mut book, peer) = (UsageBook::new(), Source::Instance { zone: 1, number: 2 });
+        let (mut book, peer) = (UsageCounters::new(), Source::Instance { zone: 1, number: 2 });
         for count in [3, 5, 5, 4] {
-            book.take_in(peer, &told(9, count), 9);
+            book.merge(peer, &told(9, count), 9);
         }
         book.count(OWN, KITCHEN, 9);
 
@@ -259,21 +259,21 @@
     /// The sum of a zone and those of its instances, heard both, count the same requests twice.
     #[test]
     fn verify_a_zones_sum_and_its_instances_are_not_added() {
-        let mut book = UsageBook::new();
-        book.take_in(Source::Zone(2), &told(9, 10), 9);
-        book.take_in(Source::Instance { zone: 2, number: 2 }, &told(9, 4), 9);
+        let mut book = UsageCounters::new();
+        book.merge(Source::Zone(2), &told(9, 10), 9);
+        book.merge(Source::Instance { zone: 2, number: 2 }, &told(9, 4), 9);
         assert_eq!(book.totals(9)[&KITCHEN], 10);
 
-        book.take_in(Source::Instance { zone: 2, number: 3 }, &told(9, 8), 9);
+        book.merge(Source::Instance { zone: 2, number: 3 }, &told(9, 8), 9);
         assert_eq!(book.totals(9)[&KITCHEN], 12);
     }
 
     /// An instance that starts again loses what its last start has counted.
     #[test]
     fn verify_another_start_counts_beside_the_one_before() {
-        let mut book = UsageBook::new();
+        let mut book = UsageCounters::new();
         for number in [2, 3] {
-            book.take_in(Source::Instance { zone: 1, number }, &told(9, 4), 9);
+            book.merge(Source::Instance { zone: 1, number }, &told(9, 4), 9);
         }
 
         assert_eq!(book.totals(9)[&KITCHEN], 8);
@@ -282,17 +282,17 @@
     /// A long-lived instance keeps every window, or one of another writer's.
     #[test]
     fn verify_windows_are_bounded() {
-        let mut book = UsageBook::new();
+        let mut book = UsageCounters::new();
         for window in 0..100 {
             book.count(OWN, KITCHEN, window);
         }
-        book.take_in(Source::Zone(2), &told(u64::MAX, 1), 99);
-        book.take_in(Source::Zone(2), &told(5, 1), 99);
+        book.merge(Source::Zone(2), &told(u64::MAX, 1), 99);
+        book.merge(Source::Zone(2), &told(5, 1), 99);
 
         assert_eq!(book.windows.len() as u64, KEPT_WINDOWS + 1);
         assert_eq!(book.take_changes(1_000).len() as u64, KEPT_WINDOWS + 1);
         assert_eq!(book.take_changes(1_000), []);
-        book.tell_again(Some(99));
+        book.resend(Some(99));
         assert_eq!(book.take_changes(1_000), told(99, 1));
     }
 }
--- a/crates/anvilhook-core/src/watches.rs
+++ b/crates/anvilhook-core/src/watches.rs
@@ -14,12 +14,12 @@
 ///
 /// A sound one tells something each half second. The shortest time within which a change must be in
 /// force is 2 s: after the silence, one call to the table must fit.
-pub const FOLLOWER_SILENCE: Millis = Millis(1_300);
+pub const FOLLOWER_TIMEOUT: Millis = Millis(1_300);
 
 /// How long an instance that did not reach the table is passed over.
 ///
 /// With all of them unable, each is tried again after that, so that the end of an outage is seen.
-pub const UNABLE_TIME: Millis = Millis(5_000);
+pub const UNREACHABLE_BACKOFF: Millis = Millis(5_000);
 
 /// `Candidate` is an instance that could follow a table for its availability zone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
--- a/crates/anvilhook-core/tests/authority_search/steps.rs
+++ b/crates/anvilhook-core/tests/authority_search/steps.rs
@@ -7,7 +7,7 @@
     effective_fencing,
 };
 use anvilhook_core::drains::{DrainCause, DrainProgress};
-use anvilhook_core::leases::{SessionFate, SessionRow};
+use anvilhook_core::leases::{SessionRow, SessionStatus};
 use anvilhook_core::orders::{Order, Stamp, StampedOrder};
 use anvilhook_core::resources::Fencing;
 use anvilhook_core::units::Millis;
@@ -394,7 +394,7 @@
 fn read_session(world: &mut World, me: usize) {
     let (row, version) = world.sessions[me].clone();
     let instance = &mut world.instances[me];
-    if instance.own.read_back(Some((&row, version))) == SessionFate::Ended {
+    if instance.own.read_back(Some((&row, version))) == SessionStatus::Ended {
         instance.held = None;
     }
 }
--- a/crates/anvilhook-core/tests/budgets.rs
+++ b/crates/anvilhook-core/tests/budgets.rs
@@ -2,7 +2,7 @@
 
 use anvilhook_core::ejections::{Ejection, EjectionOptions};
 use anvilhook_core::limits::{
-    AccountDemand, AccountLimiter, AccountShare, LimitOptions, PeerDemand, ShareKeeper,
+    AccountDemand, AccountLimiter, AccountShare, LimitOptions, PeerDemand, ShareAllocator,
 };
 use anvilhook_core::names::InstanceName;
 use anvilhook_core::resources::AccountSpec;
@@ -86,7 +86,7 @@
     let step = Millis(500);
     for (lost_to, moves_at) in [(None, 20_000), (Some(0), 20_000), (Some(1), 20_000)] {
         let mut keepers: Vec<_> =
-            (0..3).map(|_| ShareKeeper::new(account(300, 30), &options)).collect();
+            (0..3).map(|_| ShareAllocator::new(account(300, 30), &options)).collect();
         let mut heard = vec![vec![(0.0, None, true); 3]; 3];
         let mut over_since = None;
         let mut last = vec![AccountShare::default(); 3];
--- a/crates/anvilhook-core/tests/leases.rs
+++ b/crates/anvilhook-core/tests/leases.rs
@@ -1,6 +1,6 @@
 //! Leases: no two instances trust the same one, whatever their clocks and lost answers.
 
-use anvilhook_core::leases::{LeaseOptions, OwnSession, SessionFate, SessionRow, Watch};
+use anvilhook_core::leases::{LeaseOptions, OwnSession, SessionRow, SessionStatus, Watch};
 use anvilhook_core::membership::{CandidateOptions, rank, watch_interval};
 use anvilhook_core::names::{InstanceName, PoolName};
 use anvilhook_core::units::Millis;
@@ -104,11 +104,11 @@
     };
     // The row read back with its version, what is learnt, and until when the lease then holds.
     let cases = [
-        (Some((&renewed, 2)), SessionFate::Goes, 3_000 + 9_000),
-        (Some((&first, 1)), SessionFate::Goes, 9_000),
-        (Some((&ended, 2)), SessionFate::Ended, 9_000),
-        (Some((&other, 2)), SessionFate::Ended, 9_000),
-        (None, SessionFate::Ended, 9_000),
+        (Some((&renewed, 2)), SessionStatus::Active, 3_000 + 9_000),
+        (Some((&first, 1)), SessionStatus::Active, 9_000),
+        (Some((&ended, 2)), SessionStatus::Ended, 9_000),
+        (Some((&other, 2)), SessionStatus::Ended, 9_000),
+        (None, SessionStatus::Ended, 9_000),
     ];
     for (standing, fate, good_until) in cases {
         let (mut own, _) = opened(&options, Millis::ZERO);
--- a/crates/anvilhook-core/tests/pacing.rs
+++ b/crates/anvilhook-core/tests/pacing.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BinaryHeap;
 
-use anvilhook_core::pacing::{Pace, Places, Waiting, pace_generating, pace_reading};
+use anvilhook_core::pacing::{Pace, Slots, Waiting, pace_generating, pace_reading};
 use anvilhook_core::units::Millis;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -160,7 +160,7 @@
         }
         held.retain(|piece| {
             let in_flight = (ends.len() + queue.len()) as u32;
-            let places = Places { slots: slots as u32, in_flight };
+            let places = Slots { slots: slots as u32, in_flight };
             let (work, waiting) = (piece.work as f64, piece.waiting(now));
             if is_paced && pace_generating(&waiting, 20.0, work, places) == Pace::Hold {
                 return true;
@@ -202,7 +202,7 @@
 fn verify_engines_with_few_places_are_used() {
     let waiting = Waiting { age: Millis(9_000), objective: Millis(100), patience: Millis(100_000) };
     for slots in [1, 2, 3] {
-        let places = Places { slots, in_flight: 0 };
+        let places = Slots { slots, in_flight: 0 };
         assert_eq!(pace_generating(&waiting, 20.0, 5_000.0, places), Pace::Free, "{slots}");
     }
 }
--- a/crates/anvilhook-core/tests/routing.rs
+++ b/crates/anvilhook-core/tests/routing.rs
@@ -8,7 +8,7 @@
 use anvilhook_core::reports::{CacheChange, CacheEvent, CacheEventPage, LoadReport, PrefixHash};
 use anvilhook_core::roles::{Flow, PoolShape, WorkSeen};
 use anvilhook_core::routing::{
-    LaneKeeper, Lanes, Phase, Placement, RouteRequest, RouteTable, SentSince, SentTotals,
+    LaneBalancer, Lanes, Phase, Placement, RouteRequest, RouteTable, SentSince, SentTotals,
     UpstreamState, Work,
 };
 use anvilhook_core::units::{Millis, Tokens};
@@ -184,7 +184,7 @@
 #[test]
 fn verify_lanes_follow_the_mix() {
     let lanes = Arc::new(Lanes::new());
-    let mut keeper = LaneKeeper::new(&PoolShape::default());
+    let mut keeper = LaneBalancer::new(&PoolShape::default());
     let table = RouteTable::new(engines(12)).with_lanes(lanes.clone());
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let documents = Flow { requests: 8.0, prefill: 24_000.0, prompt: 64_000.0, output: 400.0 };
--- a/crates/anvilhook-core/tests/stops.rs
+++ b/crates/anvilhook-core/tests/stops.rs
@@ -1,6 +1,6 @@
 //! What an instance that stops takes on.
 
-use anvilhook_core::stops::{Stop, Taking};
+use anvilhook_core::stops::{Acceptance, Stop};
 use anvilhook_core::units::Millis;
 
 const STOP: Stop = Stop { noticed_at: Millis(2_300), ends_at: Millis(7_100) };
@@ -17,9 +17,9 @@
             for limit in [Millis(1_200), Millis(2_500), Millis(8_000)] {
                 let ends_at = now + took.min(limit);
                 for expected_ms in [Some(took.0 as f64), Some(took.0 as f64 / 3.0), None] {
-                    let taking = STOP.weigh(now, now + limit, expected_ms);
+                    let taking = STOP.decide(now, now + limit, expected_ms);
 
-                    let is_cut = taking != Taking::Refused && ends_at > STOP.ends_at;
+                    let is_cut = taking != Acceptance::Refused && ends_at > STOP.ends_at;
                     let is_right = expected_ms == Some(took.0 as f64);
                     let case = format!("at {now:?}, {took:?} of {limit:?}, {expected_ms:?}");
                     assert!(!is_cut || (now < STOP.noticed_at && !is_right), "{case}: {taking:?}");
@@ -36,10 +36,10 @@
     let limit = Millis(2_500);
     let last = STOP.ends_at - limit;
     for (now, expected) in [
-        (Millis::ZERO, Taking::Bounded),
-        (last, Taking::Bounded),
-        (last + Millis(1), Taking::Refused),
+        (Millis::ZERO, Acceptance::Bounded),
+        (last, Acceptance::Bounded),
+        (last + Millis(1), Acceptance::Refused),
     ] {
-        assert_eq!(STOP.weigh(now, now + limit, None), expected, "{now:?}");
+        assert_eq!(STOP.decide(now, now + limit, None), expected, "{now:?}");
     }
 }
--- a/crates/anvilhook-daemon/src/instances/shares.rs
+++ b/crates/anvilhook-daemon/src/instances/shares.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-use anvilhook_core::limits::{AccountDemand, LimitOptions, PeerDemand, ShareKeeper};
+use anvilhook_core::limits::{AccountDemand, LimitOptions, PeerDemand, ShareAllocator};
 use anvilhook_core::names::{AccountName, InstanceName};
 use anvilhook_core::resources::AccountSpec;
 use anvilhook_core::units::{Clock, Millis};
@@ -33,7 +33,7 @@
 /// `Kept` is the keeper of one account's share, with what it was made for.
 struct Kept {
     spec: AccountSpec,
-    keeper: ShareKeeper,
+    keeper: ShareAllocator,
 }
 
 impl<C: Clock, U: Upstreams, K: Claims> ShareTask<C, U, K> {
@@ -73,10 +73,10 @@
         &self,
         kept: &'a mut BTreeMap<AccountName, Kept>,
         account: &Arc<Account>,
-    ) -> &'a mut ShareKeeper {
+    ) -> &'a mut ShareAllocator {
         let fresh = || Kept {
             spec: account.spec.clone(),
-            keeper: ShareKeeper::new(account.spec.clone(), &self.options),
+            keeper: ShareAllocator::new(account.spec.clone(), &self.options),
         };
         let entry = kept.entry(account.name.clone()).or_insert_with(fresh);
         if entry.spec != account.spec {
--- a/crates/anvilhook-gateway/src/configs.rs
+++ b/crates/anvilhook-gateway/src/configs.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-use anvilhook_core::api_keys::{AccountBook, ClientAccount, KeyDigest};
+use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyDigest};
 use anvilhook_core::fleet_size::ScalingSpec;
 use anvilhook_core::units::{Millis, Tokens};
 
@@ -138,7 +138,7 @@
     services: HashMap<Arc<str>, ServiceSpec>,
     tightest: HashMap<Arc<str>, Millis>,
     routes: HashMap<Arc<str>, HashMap<Arc<str>, Arc<Route>>>,
-    accounts: Option<AccountBook>,
+    accounts: Option<AccountRegistry>,
 }
 
 /// `Access` is on whose behalf a request is made, by one configuration.
@@ -174,12 +174,12 @@
     }
 
     /// Has callers show a key of one of these client accounts, but for public routes.
-    pub fn with_accounts(self, accounts: AccountBook) -> Self {
+    pub fn with_accounts(self, accounts: AccountRegistry) -> Self {
         Self { accounts: Some(accounts), ..self }
     }
 
     /// Returns the client accounts, if there are any.
-    pub fn accounts(&self) -> Option<&AccountBook> {
+    pub fn accounts(&self) -> Option<&AccountRegistry> {
         self.accounts.as_ref()
     }
 
--- a/crates/anvilhook-gateway/src/controls.rs
+++ b/crates/anvilhook-gateway/src/controls.rs
@@ -1,7 +1,7 @@
 //! What an operator asks an instance for: its metrics, and the requests under which engines have ended.
 
 use anvilhook_core::fingerprints::Fingerprint;
-use anvilhook_core::quarantine::{End, Standing};
+use anvilhook_core::quarantine::{EngineEnd, SuspectStatus};
 use anvilhook_core::units::{Clock, Millis};
 use http::{Method, StatusCode};
 use serde::Serialize;
@@ -39,7 +39,7 @@
 }
 
 impl Ended {
-    fn new(end: &End, now: Millis) -> Self {
+    fn new(end: &EngineEnd, now: Millis) -> Self {
         Self { incarnation: end.engine, age_ms: (now - end.at).0 }
     }
 }
@@ -60,7 +60,7 @@
     let suspects = gateway.suspects().list(now).into_iter();
     let suspected = suspects.map(|(fingerprint, standing, ends)| Suspected {
         fingerprint,
-        is_quarantined: standing == Standing::Quarantined,
+        is_quarantined: standing == SuspectStatus::Quarantined,
         ends: ends.iter().map(|end| Ended::new(end, now)).collect(),
     });
     json(StatusCode::OK, &suspected.collect::<Vec<_>>())
--- a/crates/anvilhook-gateway/src/peers/members.rs
+++ b/crates/anvilhook-gateway/src/peers/members.rs
@@ -7,7 +7,7 @@
 
 use anvilhook_core::ranks::rank_of;
 use anvilhook_core::units::Millis;
-use anvilhook_core::watches::{Candidate, FOLLOWER_SILENCE, is_chosen};
+use anvilhook_core::watches::{Candidate, FOLLOWER_TIMEOUT, is_chosen};
 use tokio::sync::Notify;
 
 use super::digests::Digest;
@@ -158,7 +158,7 @@
         let zone_peers = known.iter().filter(|(_, known)| known.zone == Some(self.zone));
         let heard =
             zone_peers.filter_map(|(address, known)| Some((*address, known.peer.as_ref()?)));
-        heard.filter(move |(_, peer)| peer.heard_at + FOLLOWER_SILENCE > now)
+        heard.filter(move |(_, peer)| peer.heard_at + FOLLOWER_TIMEOUT > now)
     }
 
     /// Notes that the instance was heard which tells for another availability zone.
--- a/crates/anvilhook-gateway/src/peers/watches.rs
+++ b/crates/anvilhook-gateway/src/peers/watches.rs
@@ -6,7 +6,7 @@
 use std::sync::{Mutex, MutexGuard};
 
 use anvilhook_core::units::Millis;
-use anvilhook_core::watches::{Continuity, UNABLE_TIME};
+use anvilhook_core::watches::{Continuity, UNREACHABLE_BACKOFF};
 use serde::{Deserialize, Serialize};
 use tokio::sync::Notify;
 
@@ -59,7 +59,7 @@
 
     /// Notes that this instance did not reach the table, with a call that it began at `began_at`.
     pub fn record_failure(&self, began_at: Millis, now: Millis) {
-        self.unable_until.store((now + UNABLE_TIME).0, Ordering::Release);
+        self.unable_until.store((now + UNREACHABLE_BACKOFF).0, Ordering::Release);
         self.away_at.fetch_max(began_at.0, Ordering::AcqRel);
     }
 
--- a/crates/anvilhook-gateway/src/relay/examining.rs
+++ b/crates/anvilhook-gateway/src/relay/examining.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use anvilhook_core::fingerprints::Fingerprint;
-use anvilhook_core::quarantine::{Standing, Weighed};
+use anvilhook_core::quarantine::{EndOutcome, SuspectStatus};
 use anvilhook_core::units::{Clock, Millis};
 use http::StatusCode;
 use tokio::net::TcpStream;
@@ -61,9 +61,9 @@
             return Some(denied);
         }
         let (request, now) = (exchange.fingerprint, self.now());
-        match self.suspects().standing(request, now) {
-            (Standing::Clear, _) => None,
-            (Standing::Quarantined, _) => {
+        match self.suspects().status(request, now) {
+            (SuspectStatus::Clear, _) => None,
+            (SuspectStatus::Quarantined, _) => {
                 self.suspects().record_arrival(request, now);
                 // A refusal would invite the same request back.
                 Some(match exchange.may_have_run {
@@ -71,7 +71,7 @@
                     false => Outcome::failed(StatusCode::BAD_REQUEST, QUARANTINED),
                 })
             }
-            (Standing::Suspected(_), left) => {
+            (SuspectStatus::Suspected(_), left) => {
                 if exchange.trial.is_none() {
                     exchange.trial = self.suspects().begin_trial(request, now);
                 }
@@ -105,7 +105,7 @@
 
     /// Notes that a request's run has ended well.
     pub(super) fn note_well(&self, exchange: &Exchange) {
-        self.suspects().record_well(exchange.fingerprint, self.now());
+        self.suspects().record_success(exchange.fingerprint, self.now());
     }
 
     /// Looks at an engine until it is known whether it has ended.
@@ -176,7 +176,7 @@
         }
         let weighed = suspects.confirm_end(upstream.digest, now);
         self.peers().announce();
-        let counted = weighed.iter().filter(|(_, weighed)| *weighed != Weighed::Ignored);
+        let counted = weighed.iter().filter(|(_, weighed)| *weighed != EndOutcome::Ignored);
         emit(&Event::EngineEnded {
             upstream: &upstream.entry.id,
             incarnation: upstream.digest,
@@ -185,7 +185,7 @@
             suspects: counted.map(|(request, _)| *request).take(MAX_LOGGED).collect(),
         });
         self.metrics().record_end(evidence);
-        for (request, _) in weighed.iter().filter(|(_, one)| *one == Weighed::Quarantined) {
+        for (request, _) in weighed.iter().filter(|(_, one)| *one == EndOutcome::Quarantined) {
             self.log_quarantine(*request, "own");
         }
     }
--- a/crates/anvilhook-gateway/src/relay/plain.rs
+++ b/crates/anvilhook-gateway/src/relay/plain.rs
@@ -153,8 +153,7 @@
     ) -> Option<Arc<Upstream>> {
         let now = self.now();
         let view = self.fleet().view();
-        let place =
-            exchange.suspect().and_then(|suspect| self.suspects().trial_place(suspect, now));
+        let place = exchange.suspect().and_then(|suspect| self.suspects().trial_slot(suspect, now));
         // The time is the median of all instances' clocks, and needed by suspects only.
         let turn = place.map(|place| (place, self.usage().time(now)));
         let is_allowed = |upstream: &Upstream| {
--- a/crates/anvilhook-gateway/src/relay/stopping.rs
+++ b/crates/anvilhook-gateway/src/relay/stopping.rs
@@ -3,7 +3,7 @@
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-use anvilhook_core::stops::{Stop, Taking};
+use anvilhook_core::stops::{Acceptance, Stop};
 use anvilhook_core::units::{Clock, Millis};
 use tokio::sync::watch;
 
@@ -40,7 +40,7 @@
     left: Millis,
     limit: Millis,
     expected_ms: Option<f64>,
-    taking: Taking,
+    taking: Acceptance,
 }
 
 impl Weighed {
@@ -98,7 +98,7 @@
     /// prompt was read.
     pub(super) fn may_be_cut(&self, exchange: &Exchange) -> bool {
         let weighed = self.weigh(exchange);
-        let refused = weighed.filter(|weighed| weighed.taking == Taking::Refused);
+        let refused = weighed.filter(|weighed| weighed.taking == Acceptance::Refused);
         refused.inspect(|weighed| weighed.log(exchange, weighed.taking.as_str())).is_some()
     }
 
@@ -107,7 +107,7 @@
         let Some(weighed) = self.weigh(exchange) else { return };
         let taking = match weighed.taking {
             // Only a stream that goes on after a break is sent all the same.
-            Taking::Refused => "resumed",
+            Acceptance::Refused => "resumed",
             taking => taking.as_str(),
         };
         weighed.log(exchange, taking);
@@ -122,7 +122,7 @@
             left: stop.time_left(now),
             limit: exchange.time_left(now),
             expected_ms,
-            taking: stop.weigh(now, exchange.give_up_at, expected_ms),
+            taking: stop.decide(now, exchange.give_up_at, expected_ms),
         })
     }
 
--- a/crates/anvilhook-gateway/src/relay/waiting.rs
+++ b/crates/anvilhook-gateway/src/relay/waiting.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use anvilhook_core::pacing::{Pace, Places, pace_generating, pace_reading};
+use anvilhook_core::pacing::{Pace, Slots, pace_generating, pace_reading};
 use anvilhook_core::units::{Clock, Millis};
 
 use super::Gateway;
@@ -93,7 +93,7 @@
             let chosen = self
                 .with_placer(exchange, |placer| placer.generator(&job.request(exchange), reader));
             let Some(generator) = chosen else { return Waited::NoEngine };
-            let places = Places {
+            let places = Slots {
                 slots: generator.upstream.entry.slots,
                 in_flight: generator.upstream.state.work(self.now()).in_flight,
             };
--- a/crates/anvilhook-gateway/src/suspects.rs
+++ b/crates/anvilhook-gateway/src/suspects.rs
@@ -6,7 +6,7 @@
 
 use anvilhook_core::fingerprints::Fingerprint;
 use anvilhook_core::quarantine::{
-    End, QuarantineBook, QuarantineOptions, Standing, TrialPlace, Weighed,
+    EndOutcome, EngineEnd, QuarantineOptions, QuarantineTracker, SuspectStatus, TrialSlot,
 };
 use anvilhook_core::units::Millis;
 use serde::{Deserialize, Serialize};
@@ -56,7 +56,7 @@
 }
 
 impl SuspectNews {
-    fn ended(request: Fingerprint, end: &End, now: Millis) -> Self {
+    fn ended(request: Fingerprint, end: &EngineEnd, now: Millis) -> Self {
         let age_ms = u32::try_from((now - end.at).0).unwrap_or(u32::MAX);
         Self { request, fate: Fate::Ended { engine: end.engine, age_ms } }
     }
@@ -97,7 +97,7 @@
 /// `Suspects` is the suspected requests, and the engines whose runs broke and that are looked at.
 #[derive(Debug)]
 pub struct Suspects {
-    book: Mutex<QuarantineBook>,
+    book: Mutex<QuarantineTracker>,
     /// What ran at engines of which it is not known yet whether they have ended.
     examined: Mutex<HashMap<u32, Vec<(Fingerprint, Break)>>>,
     /// The suspects that are on trial, each at one engine.
@@ -140,7 +140,7 @@
     /// Makes the suspects of an instance that has heard of none.
     pub fn new() -> Self {
         Self {
-            book: Mutex::new(QuarantineBook::new(QuarantineOptions::default())),
+            book: Mutex::new(QuarantineTracker::new(QuarantineOptions::default())),
             examined: Mutex::default(),
             trials: Mutex::default(),
             news: Mutex::default(),
@@ -150,13 +150,13 @@
 
     /// Returns what is held of a request, and how many more engines may end under it until it is
     /// quarantined. Engines that are still being looked at count as ended.
-    pub(crate) fn standing(&self, request: Fingerprint, now: Millis) -> (Standing, usize) {
+    pub(crate) fn status(&self, request: Fingerprint, now: Millis) -> (SuspectStatus, usize) {
         if !self.has_any.load(Ordering::Acquire) {
-            return (Standing::Clear, usize::MAX);
+            return (SuspectStatus::Clear, usize::MAX);
         }
         let book = lock(&self.book);
-        let known = book.standing(request, now);
-        if known == Standing::Quarantined || book.ran_well_of_late(request, now) {
+        let known = book.status(request, now);
+        if known == SuspectStatus::Quarantined || book.has_recent_success(request, now) {
             return (known, usize::MAX);
         }
         let ends = book.ends(request, now);
@@ -166,29 +166,29 @@
             .iter()
             .filter(|(engine, runs)| is_new(engine) && runs.contains(&(request, Break::Broken)));
         match ends.len() + broken.count() {
-            0 => (Standing::Clear, usize::MAX),
+            0 => (SuspectStatus::Clear, usize::MAX),
             ends => {
                 let left = book.needed_ends(request, now).saturating_sub(ends);
-                (Standing::Suspected(ends), left)
+                (SuspectStatus::Suspected(ends), left)
             }
         }
     }
 
     /// Returns where a suspect is to be tried, if it is to be tried apart from others.
-    pub(crate) fn trial_place(&self, request: Fingerprint, now: Millis) -> Option<TrialPlace> {
-        lock(&self.book).trial_place(request, now)
+    pub(crate) fn trial_slot(&self, request: Fingerprint, now: Millis) -> Option<TrialSlot> {
+        lock(&self.book).trial_slot(request, now)
     }
 
     /// Returns the ends that speak against a request.
-    pub fn ends(&self, request: Fingerprint, now: Millis) -> Vec<End> {
+    pub fn ends(&self, request: Fingerprint, now: Millis) -> Vec<EngineEnd> {
         lock(&self.book).ends(request, now).to_vec()
     }
 
     /// Returns the suspected requests with what speaks against each.
-    pub fn list(&self, now: Millis) -> Vec<(Fingerprint, Standing, Vec<End>)> {
+    pub fn list(&self, now: Millis) -> Vec<(Fingerprint, SuspectStatus, Vec<EngineEnd>)> {
         let book = lock(&self.book);
         let suspects = book.suspects(now);
-        suspects.map(|(one, ends)| (one, book.standing(one, now), ends.to_vec())).collect()
+        suspects.map(|(one, ends)| (one, book.status(one, now), ends.to_vec())).collect()
     }
 
     /// Begins a suspect's run; `None` if one is under way, of it or of one that shared all its ends.
@@ -231,25 +231,27 @@
 
     /// Ends the look at an engine that has ended, and returns those that ran there with what became of
     /// each. The others are told.
-    pub fn confirm_end(&self, engine: u32, now: Millis) -> Vec<(Fingerprint, Weighed)> {
+    pub fn confirm_end(&self, engine: u32, now: Millis) -> Vec<(Fingerprint, EndOutcome)> {
         let mut runs = lock(&self.examined).remove(&engine).unwrap_or_default();
         runs.sort_unstable_by_key(|(request, _)| *request);
         runs.dedup_by_key(|(request, _)| *request);
         let mut book = lock(&self.book);
         let weighed: Vec<_> = runs
             .into_iter()
-            .map(|(request, _)| (request, book.record_end(request, End { engine, at: now }, now)))
+            .map(|(request, _)| {
+                (request, book.record_end(request, EngineEnd { engine, at: now }, now))
+            })
             .collect();
         drop(book);
-        for (request, _) in weighed.iter().filter(|(_, weighed)| *weighed != Weighed::Ignored) {
-            self.tell(SuspectNews::ended(*request, &End { engine, at: now }, now), now);
+        for (request, _) in weighed.iter().filter(|(_, weighed)| *weighed != EndOutcome::Ignored) {
+            self.tell(SuspectNews::ended(*request, &EngineEnd { engine, at: now }, now), now);
         }
         weighed
     }
 
     /// Notes that a request's run has ended well.
-    pub(crate) fn record_well(&self, request: Fingerprint, now: Millis) {
-        if lock(&self.book).record_well(request, now) {
+    pub(crate) fn record_success(&self, request: Fingerprint, now: Millis) {
+        if lock(&self.book).record_success(request, now) {
             self.tell(SuspectNews { request, fate: Fate::RanWell }, now);
         }
     }
@@ -273,7 +275,7 @@
         let mut book = lock(&self.book);
         match news.fate {
             Fate::RanWell => {
-                book.record_well(request, now);
+                book.record_success(request, now);
                 drop(book);
                 lock(&self.news).retain(|waiting| !waiting.is_untold(news));
                 false
@@ -282,7 +284,7 @@
                 book.lift(request, now);
                 false
             }
-            Fate::Ended { .. } if book.ran_well_of_late(request, now) => {
+            Fate::Ended { .. } if book.has_recent_success(request, now) => {
                 drop(book);
                 // Whoever suspects it has not heard that it runs well. Hundreds may know that it does; the
                 // first to say so spares the others.
@@ -292,8 +294,8 @@
             }
             Fate::Ended { engine, age_ms } => {
                 self.has_any.store(true, Ordering::Release);
-                let end = End { engine, at: now - Millis(u64::from(age_ms)) };
-                book.record_end(request, end, now) == Weighed::Quarantined
+                let end = EngineEnd { engine, at: now - Millis(u64::from(age_ms)) };
+                book.record_end(request, end, now) == EndOutcome::Quarantined
             }
         }
     }
@@ -346,7 +348,7 @@
     /// Returns how many requests are suspected and how many quarantined.
     pub fn counts(&self, now: Millis) -> (usize, usize) {
         let suspected = self.list(now);
-        let is_quarantined = |standing: &Standing| *standing == Standing::Quarantined;
+        let is_quarantined = |standing: &SuspectStatus| *standing == SuspectStatus::Quarantined;
         let quarantined = suspected.iter().filter(|(_, standing, _)| is_quarantined(standing));
         (suspected.len(), quarantined.count())
     }
@@ -358,7 +360,7 @@
     }
 }
 
-fn ended_news(request: Fingerprint, ends: &[End], now: Millis) -> Vec<SuspectNews> {
+fn ended_news(request: Fingerprint, ends: &[EngineEnd], now: Millis) -> Vec<SuspectNews> {
     ends.iter().map(|end| SuspectNews::ended(request, end, now)).collect()
 }
 
--- a/crates/anvilhook-gateway/src/usage.rs
+++ b/crates/anvilhook-gateway/src/usage.rs
@@ -6,7 +6,7 @@
 use anvilhook_core::api_keys::ClientAccount;
 use anvilhook_core::clock_offsets::ClockOffsets;
 use anvilhook_core::units::{Millis, WallTime};
-use anvilhook_core::usage::{AccountCode, Source, UsageBook, WindowCounts, Windows};
+use anvilhook_core::usage::{AccountCode, Source, UsageCounters, WindowCounts, Windows};
 use serde::{Deserialize, Serialize};
 
 use crate::hashes::hash_of;
@@ -40,7 +40,7 @@
 
 #[derive(Debug)]
 struct State {
-    book: UsageBook,
+    book: UsageCounters,
     names: HashMap<AccountCode, Arc<str>>,
     clocks: ClockOffsets,
     told_again: u64,
@@ -51,7 +51,7 @@
     /// Makes a count by windows of a length, at the time of day `time`; nothing is counted without windows.
     pub fn new(window: Option<Millis>, time: WallTime, now: Millis) -> Self {
         let state = State {
-            book: UsageBook::new(),
+            book: UsageCounters::new(),
             names: HashMap::new(),
             clocks: ClockOffsets::new(time, now),
             told_again: 0,
@@ -103,7 +103,7 @@
             state.clocks.record(number, news.time, now);
         }
         let current = windows.at(state.clocks.time(now));
-        state.book.take_in(from, &news.windows, current);
+        state.book.merge(from, &news.windows, current);
         // No report of a window that is yet to end can have been accepted.
         if news.reported < current {
             state.reported = state.reported.max(news.reported);
@@ -119,7 +119,7 @@
         let last_ended = ended.saturating_sub(1);
         if state.told_again < last_ended {
             state.told_again = last_ended;
-            state.book.tell_again(Some(last_ended));
+            state.book.resend(Some(last_ended));
         }
         let changes = state.book.take_changes(MOST_TOLD);
         (!changes.is_empty()).then(|| state.news(changes, now))
@@ -127,7 +127,7 @@
 
     /// Has all own counts told, to somebody new.
     pub(crate) fn tell_all_again(&self) {
-        self.state().book.tell_again(None);
+        self.state().book.resend(None);
     }
 
     /// Returns what other availability zones are to be told of an availability zone.
--- a/crates/anvilhook-gateway/tests/duties.rs
+++ b/crates/anvilhook-gateway/tests/duties.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use anvilhook_core::api_keys::{AccountBook, ClientAccount, KeyHasher};
+use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 use anvilhook_core::fleet_size::{EngineKind, ScalingSpec, SizeOptions};
 use anvilhook_core::orders::Role;
 use anvilhook_core::units::{Clock, ManualClock, Millis, WallTime};
@@ -46,7 +46,7 @@
 }
 
 fn keyed(repeats: Repeats) -> Config {
-    let mut accounts = AccountBook::new(KeyHasher::new([3; 32]));
+    let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     accounts.try_add(kitchen(), ["good-key"]).expect("a good key");
     unhurried(&versioned(1, repeats, 2, false)).with_accounts(accounts)
 }
--- a/crates/anvilhook-gateway/tests/keys.rs
+++ b/crates/anvilhook-gateway/tests/keys.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use anvilhook_core::api_keys::{AccountBook, ClientAccount, KeyHasher};
+use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 use anvilhook_gateway::configs::{Config, Repeats, Route};
 use support::fronts::{Front, ample_budget, request, route, start, unhurried, versioned};
 use support::upstreams::{Step, Upstream, signed};
@@ -17,7 +17,7 @@
 
 /// Returns a configuration in which `keys` belong to the account `kitchen`.
 fn keyed(version: u64, repeats: Repeats, keys: &[&str]) -> Config {
-    let mut accounts = AccountBook::new(KeyHasher::new([3; 32]));
+    let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     let account = ClientAccount { name: Arc::from("kitchen"), priority: Some(0) };
     accounts.try_add(account, keys.iter().copied()).expect("good keys");
     unhurried(&versioned(version, repeats, 2, false)).with_accounts(accounts)
