--- a/crates/anvilhook-bench/src/control/fleets.rs
+++ b/crates/anvilhook-bench/src/control/fleets.rs
@@ -203,7 +203,7 @@
 }
 
 fn links(instance: &ControlInstance) -> usize {
-    instance.peers.news().linked.len()
+    instance.peers.view().linked.len()
 }
 
 fn runtime(name: &str, threads: usize) -> eyre::Result<Runtime> {
--- a/crates/anvilhook-bench/src/control/instances.rs
+++ b/crates/anvilhook-bench/src/control/instances.rs
@@ -165,13 +165,13 @@
     /// Returns how many others' account demand is known here that is no older than `max_age`.
     pub(super) fn fresh_demand(&self, max_age: Millis) -> usize {
         let now = self.clock.now();
-        let news = self.peers.news();
+        let news = self.peers.view();
         news.demand.values().filter(|heard| heard.age_at(now) <= max_age).count()
     }
 
     /// Returns how many others have acknowledged a drain, as far as this instance has heard.
     pub(super) fn acknowledged(&self, generation: u64) -> usize {
-        let news = self.peers.news();
+        let news = self.peers.view();
         let has = |acks: &AckSection| acks.drains.iter().any(|ack| ack.generation == generation);
         news.acks.values().filter(|heard| has(&heard.body)).count()
     }
--- a/crates/anvilhook-bench/src/control/scenarios.rs
+++ b/crates/anvilhook-bench/src/control/scenarios.rs
@@ -150,7 +150,7 @@
     let mut load = 0;
     let mut demand = 0;
     for instance in &fleet.instances {
-        load += instance.peers.news().load.len();
+        load += instance.peers.view().load.len();
         demand += instance.fresh_demand(FRESH_DEMAND);
     }
     (load as f64 / pairs, demand as f64 / pairs)
--- a/crates/anvilhook-core/src/limits/shares.rs
+++ b/crates/anvilhook-core/src/limits/shares.rs
@@ -60,7 +60,7 @@
     /// What it was asked for.
     pub demand: AccountDemand,
     /// When the digest was heard; nothing if it never was.
-    pub heard_at: Option<Millis>,
+    pub received_at: Option<Millis>,
     /// Whether that instance said that it hears all others.
     pub hears_all: bool,
 }
@@ -87,8 +87,8 @@
 
     /// Returns whether this instance hears all of its listed peers, for its own digest.
     pub fn hears_all(&self, peers: &[PeerDemand], now: Millis) -> bool {
-        let fresh = |heard_at: Millis| now - heard_at <= self.options.stale_after;
-        peers.iter().all(|peer| peer.heard_at.is_some_and(fresh))
+        let fresh = |received_at: Millis| now - received_at <= self.options.stale_after;
+        peers.iter().all(|peer| peer.received_at.is_some_and(fresh))
     }
 
     /// Works out the share that may be used from now on. `peers` are all other listed instances.
--- a/crates/anvilhook-core/tests/budgets.rs
+++ b/crates/anvilhook-core/tests/budgets.rs
@@ -13,10 +13,10 @@
     AccountSpec { token_sha256: Vec::new(), requests_per_s, open_requests }
 }
 
-fn peer(index: usize, requests_per_s: f64, heard_at: Option<Millis>) -> PeerDemand {
+fn peer(index: usize, requests_per_s: f64, received_at: Option<Millis>) -> PeerDemand {
     let instance = InstanceName::try_new(&format!("entry-{index}")).expect("a name");
     let demand = AccountDemand { requests_per_s, open_requests: requests_per_s as u64 };
-    PeerDemand { instance, demand, heard_at, hears_all: true }
+    PeerDemand { instance, demand, received_at, hears_all: true }
 }
 
 #[test]
--- a/crates/anvilhook-daemon/src/instances/hints.rs
+++ b/crates/anvilhook-daemon/src/instances/hints.rs
@@ -5,7 +5,7 @@
 
 /// Returns the acknowledgements that have come over the link. They save time and decide nothing.
 pub fn peer_hints(link: &PeerHandle) -> PeerHints {
-    let news = link.news();
+    let news = link.view();
     let mut hints = PeerHints::default();
     for (instance, heard) in news.acks.iter() {
         hints.drains.extend(heard.body.drains.iter().map(|ack| DrainHint {
--- a/crates/anvilhook-daemon/src/instances/loads.rs
+++ b/crates/anvilhook-daemon/src/instances/loads.rs
@@ -12,7 +12,7 @@
 };
 use anvilhook_core::units::{Clock, Millis};
 use anvilhook_engine::{EngineControl, Upstreams};
-use anvilhook_peer::gossip::{EngineDigest, Heard, LoadSection, ReportDigest};
+use anvilhook_peer::gossip::{EngineDigest, LoadSection, ReceivedSection, ReportDigest};
 use anvilhook_peer::{PeerAddress, PeerHandle};
 use anvilhook_platform::Table;
 use anvilhook_store::ConfigurationFollower;
@@ -171,7 +171,7 @@
         states: &BTreeMap<UpstreamName, Arc<UpstreamState>>,
         now: Millis,
     ) {
-        let news = self.link.news();
+        let news = self.link.view();
         book.peers.retain(|name, _| news.load.contains_key(name));
         for (name, heard) in news.load.iter() {
             let peer = book.peers.entry(name.clone()).or_default();
@@ -252,7 +252,7 @@
 /// Records what a peer sent beyond what it said before of the same report.
 fn apply_sent(
     peer: &mut Peer,
-    heard: &Heard<LoadSection>,
+    heard: &ReceivedSection<LoadSection>,
     states: &BTreeMap<UpstreamName, Arc<UpstreamState>>,
     written_at: Millis,
 ) {
--- a/crates/anvilhook-daemon/src/instances/metrics.rs
+++ b/crates/anvilhook-daemon/src/instances/metrics.rs
@@ -35,7 +35,7 @@
 
 impl<C: Clock, U: Upstreams, K: Claims, T: Table> Collector for InstanceCollector<C, U, K, T> {
     fn encode(&self, mut encoder: DescriptorEncoder<'_>) -> Result<(), fmt::Error> {
-        let links = self.link.news().linked.len();
+        let links = self.link.view().linked.len();
         let gauges = [
             ("open_requests", "Callers' requests in flight", self.front.in_flight()),
             (
--- a/crates/anvilhook-daemon/src/instances/shares.rs
+++ b/crates/anvilhook-daemon/src/instances/shares.rs
@@ -87,7 +87,7 @@
 
     /// Returns what each peer last said of an account. One that does not mention it has no demand.
     fn demands_of(&self, account: &AccountName, peers: &[InstanceName]) -> Vec<PeerDemand> {
-        let news = self.link.news();
+        let news = self.link.view();
         let demand_of = |instance: &InstanceName| {
             let heard = news.demand.get(instance);
             let digests = heard.iter().flat_map(|heard| &heard.body.accounts);
@@ -99,7 +99,7 @@
             PeerDemand {
                 instance: instance.clone(),
                 demand: demand.unwrap_or_default(),
-                heard_at: heard.map(|heard| heard.heard_at - heard.age),
+                received_at: heard.map(|heard| heard.received_at - heard.age),
                 hears_all: heard.is_some_and(|heard| heard.body.hears_all),
             }
         };
--- a/crates/anvilhook-peer/src/gossip/knowledge.rs
+++ b/crates/anvilhook-peer/src/gossip/knowledge.rs
@@ -15,9 +15,9 @@
 /// the rings connect, and stops what might travel in circles.
 pub(super) const MAX_HOPS: u8 = 32;
 
-/// `News` says which parts of a node's knowledge have changed.
+/// `ChangedSections` says which parts of a node's knowledge have changed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
-pub struct News {
+pub struct ChangedSections {
     /// A newer configuration has come.
     pub configuration: bool,
     /// Acknowledgements have changed.
@@ -58,8 +58,13 @@
     }
 
     /// Merges an update and returns what was news. What `me` writes is not learnt from others.
-    pub(super) fn merge(&mut self, me: &InstanceName, update: &Update, now: Millis) -> News {
-        let mut news = News::default();
+    pub(super) fn merge(
+        &mut self,
+        me: &InstanceName,
+        update: &Update,
+        now: Millis,
+    ) -> ChangedSections {
+        let mut news = ChangedSections::default();
         for item in update.acks.iter().filter(|item| item.origin != *me) {
             news.acks |= self.acks.merge(item, &self.announced, now);
         }
@@ -73,7 +78,7 @@
     }
 
     /// Ages sections out and notes what that has changed.
-    pub(super) fn expire(&mut self, now: Millis, news: &mut News) {
+    pub(super) fn expire(&mut self, now: Millis, news: &mut ChangedSections) {
         news.acks |= self.acks.expire(&self.announced, now);
         news.load |= self.load.expire(&self.announced, now);
         news.demand |= self.demand.expire(&self.announced, now);
@@ -84,9 +89,9 @@
         let mut room = self.max_update_bytes;
         Update {
             revision,
-            acks: fit(self.acks.news_for(&known.acks, now), &mut room),
-            load: fit(self.load.news_for(&known.load, now), &mut room),
-            demand: fit(self.demand.news_for(&known.demand, now), &mut room),
+            acks: fit(self.acks.updates_for(&known.acks, now), &mut room),
+            load: fit(self.load.updates_for(&known.load, now), &mut room),
+            demand: fit(self.demand.updates_for(&known.demand, now), &mut room),
         }
     }
 }
--- a/crates/anvilhook-peer/src/gossip/latest_sections.rs
+++ b/crates/anvilhook-peer/src/gossip/latest_sections.rs
@@ -22,29 +22,29 @@
     pub retention: Millis,
 }
 
-/// `Heard` is a section as it was heard.
+/// `ReceivedSection` is a section as it was heard.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Heard<T> {
+pub struct ReceivedSection<T> {
     /// Its number among the origin's sections of this kind.
     pub version: u64,
     /// When it was heard, on the own clock.
-    pub heard_at: Millis,
+    pub received_at: Millis,
     /// How old it was then.
     pub age: Millis,
     /// The section.
     pub body: Arc<T>,
 }
 
-impl<T> Heard<T> {
+impl<T> ReceivedSection<T> {
     /// Returns how long ago the section was written.
     pub fn age_at(&self, now: Millis) -> Millis {
-        self.age + (now - self.heard_at)
+        self.age + (now - self.received_at)
     }
 }
 
 #[derive(Clone, Debug)]
 struct Entry<T> {
-    heard: Heard<T>,
+    heard: ReceivedSection<T>,
     hops: u8,
     // An aged section stays as a mark: without it, an older one that arrives late would be taken
     // for news, because its age on the wire leaves out the time that it was under way.
@@ -72,7 +72,8 @@
     /// Writes an instance's own section under the next number.
     pub fn write(&mut self, origin: &InstanceName, body: T, now: Millis) {
         let version = self.version(origin) + 1;
-        let heard = Heard { version, heard_at: now, age: Millis::ZERO, body: Arc::new(body) };
+        let heard =
+            ReceivedSection { version, received_at: now, age: Millis::ZERO, body: Arc::new(body) };
         self.entries.insert(origin.clone(), Entry { heard, hops: 0, aged: false });
     }
 
@@ -103,9 +104,9 @@
         } else if self.entries.len() >= self.bounds.max_origins {
             return false;
         }
-        let heard = Heard {
+        let heard = ReceivedSection {
             version: item.version,
-            heard_at: now,
+            received_at: now,
             age: item.age,
             body: Arc::clone(&item.body),
         };
@@ -133,7 +134,7 @@
     }
 
     /// Returns the sections to tell a partner who knows the given numbers.
-    pub fn news_for<'a>(
+    pub fn updates_for<'a>(
         &'a self,
         known: &'a BTreeMap<InstanceName, u64>,
         now: Millis,
@@ -153,7 +154,7 @@
     }
 
     /// Returns the sections of all instances but one that have not aged.
-    pub fn heard_from_others(&self, me: &InstanceName) -> BTreeMap<InstanceName, Heard<T>> {
+    pub fn from_others(&self, me: &InstanceName) -> BTreeMap<InstanceName, ReceivedSection<T>> {
         let others = self.entries.iter().filter(|(origin, entry)| *origin != me && !entry.aged);
         others.map(|(origin, entry)| (origin.clone(), entry.heard.clone())).collect()
     }
--- a/crates/anvilhook-peer/src/gossip/mod.rs
+++ b/crates/anvilhook-peer/src/gossip/mod.rs
@@ -18,8 +18,8 @@
 
 pub use budgets::{hops_within, reach, spacing, traffic};
 pub use configurations::ConfigurationCache;
-pub use knowledge::News;
-pub use latest_sections::{Heard, LatestSections, SectionBounds};
+pub use knowledge::ChangedSections;
+pub use latest_sections::{LatestSections, ReceivedSection, SectionBounds};
 pub use messages::{Item, LinkId, Message, Transfer, Transport, Update};
 pub use nodes::GossipNode;
 pub use options::GossipOptions;
--- a/crates/anvilhook-peer/src/gossip/nodes.rs
+++ b/crates/anvilhook-peer/src/gossip/nodes.rs
@@ -9,8 +9,8 @@
 
 use super::budgets::{hops_within, spacing, traffic};
 use super::configurations::ConfigurationCache;
-use super::knowledge::{Knowledge, MAX_HOPS, News};
-use super::latest_sections::Heard;
+use super::knowledge::{ChangedSections, Knowledge, MAX_HOPS};
+use super::latest_sections::ReceivedSection;
 use super::messages::{LinkId, Message, Transfer, Transport, Update};
 use super::options::GossipOptions;
 use super::partner_states::Partner;
@@ -33,7 +33,7 @@
     // The pull under way.
     pull: Option<(LinkId, Millis)>,
     last_seq: u64,
-    news: News,
+    news: ChangedSections,
 }
 
 impl GossipNode {
@@ -51,7 +51,7 @@
             demand_written_at: None,
             pull: None,
             last_seq: 0,
-            news: News::default(),
+            news: ChangedSections::default(),
         }
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Returns what has changed since the last call.
-    pub fn take_news(&mut self) -> News {
+    pub fn take_changes(&mut self) -> ChangedSections {
         std::mem::take(&mut self.news)
     }
 
@@ -166,18 +166,18 @@
     }
 
     /// Returns the others' acknowledgements.
-    pub fn acks(&self) -> BTreeMap<InstanceName, Heard<AckSection>> {
-        self.knowledge.acks.heard_from_others(&self.me)
+    pub fn acks(&self) -> BTreeMap<InstanceName, ReceivedSection<AckSection>> {
+        self.knowledge.acks.from_others(&self.me)
     }
 
     /// Returns the others' load sections.
-    pub fn load(&self) -> BTreeMap<InstanceName, Heard<LoadSection>> {
-        self.knowledge.load.heard_from_others(&self.me)
+    pub fn load(&self) -> BTreeMap<InstanceName, ReceivedSection<LoadSection>> {
+        self.knowledge.load.from_others(&self.me)
     }
 
     /// Returns the others' demand sections.
-    pub fn demand(&self) -> BTreeMap<InstanceName, Heard<DemandSection>> {
-        self.knowledge.demand.heard_from_others(&self.me)
+    pub fn demand(&self) -> BTreeMap<InstanceName, ReceivedSection<DemandSection>> {
+        self.knowledge.demand.from_others(&self.me)
     }
 
     fn mark_urgent(&mut self) {
--- a/crates/anvilhook-peer/src/handles.rs
+++ b/crates/anvilhook-peer/src/handles.rs
@@ -9,18 +9,18 @@
 use arc_swap::ArcSwap;
 use tokio::sync::watch;
 
-use crate::gossip::{AckSection, DemandSection, Heard, LoadSection};
+use crate::gossip::{AckSection, DemandSection, LoadSection, ReceivedSection};
 use crate::options::PeerAddress;
 
-/// `PeerNews` is what has been heard of the other instances. It is replaced as a whole.
+/// `PeerView` is what has been heard of the other instances. It is replaced as a whole.
 #[derive(Clone, Debug, Default)]
-pub struct PeerNews {
+pub struct PeerView {
     /// Their acknowledgements.
-    pub acks: Arc<BTreeMap<InstanceName, Heard<AckSection>>>,
+    pub acks: Arc<BTreeMap<InstanceName, ReceivedSection<AckSection>>>,
     /// Their load sections.
-    pub load: Arc<BTreeMap<InstanceName, Heard<LoadSection>>>,
+    pub load: Arc<BTreeMap<InstanceName, ReceivedSection<LoadSection>>>,
     /// Their demand sections.
-    pub demand: Arc<BTreeMap<InstanceName, Heard<DemandSection>>>,
+    pub demand: Arc<BTreeMap<InstanceName, ReceivedSection<DemandSection>>>,
     /// The instances that a link stands to.
     pub linked: Arc<Vec<InstanceName>>,
 }
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub(crate) struct Received {
     pub(crate) configuration: watch::Sender<Option<Arc<Configuration>>>,
-    pub(crate) news: ArcSwap<PeerNews>,
+    pub(crate) news: ArcSwap<PeerView>,
     pub(crate) changes: watch::Sender<u64>,
     pub(crate) counters: Counters,
 }
@@ -129,11 +129,11 @@
     }
 
     /// Returns what has been heard of the other instances.
-    pub fn news(&self) -> arc_swap::Guard<Arc<PeerNews>> {
+    pub fn view(&self) -> arc_swap::Guard<Arc<PeerView>> {
         self.received.news.load()
     }
 
-    /// Returns a number that changes whenever `news` does, to wait for.
+    /// Returns a number that changes whenever `view` does, to wait for.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.received.changes.subscribe()
     }
--- a/crates/anvilhook-peer/src/lib.rs
+++ b/crates/anvilhook-peer/src/lib.rs
@@ -21,7 +21,7 @@
 mod peer_capnp;
 
 pub use errors::{Error, Result};
-pub use handles::{PeerHandle, PeerNews};
+pub use handles::{PeerHandle, PeerView};
 pub use keys::PeerKey;
 pub use links::PeerLink;
 pub use options::{PeerAddress, PeerOptions};
--- a/crates/anvilhook-peer/src/links/hubs.rs
+++ b/crates/anvilhook-peer/src/links/hubs.rs
@@ -12,7 +12,7 @@
 
 use crate::errors::{Error, Result};
 use crate::gossip::{GossipNode, LinkId, Message, Transfer, Transport};
-use crate::handles::{PeerNews, Received};
+use crate::handles::{PeerView, Received};
 use crate::options::{PeerAddress, PeerOptions};
 
 /// The messages that may wait on a link. A node sends one update and one pull at a time; what does
@@ -219,7 +219,7 @@
 
     fn publish_news(&self) {
         let mut state = self.state.borrow_mut();
-        let news = state.node.take_news();
+        let news = state.node.take_changes();
         let links_changed = std::mem::take(&mut state.links_changed);
         if news.configuration {
             self.received.configuration.send_replace(state.node.configuration().cloned());
@@ -227,7 +227,7 @@
         if !(news.acks || news.load || news.demand || links_changed) {
             return;
         }
-        let mut next = PeerNews::clone(&self.received.news.load());
+        let mut next = PeerView::clone(&self.received.news.load());
         if news.acks {
             next.acks = Arc::new(state.node.acks());
         }
--- a/crates/anvilhook-peer/src/links/mod.rs
+++ b/crates/anvilhook-peer/src/links/mod.rs
@@ -23,7 +23,7 @@
 
 use crate::errors::{Error, Result};
 use crate::gossip::{AckSection, DemandSection, LoadSection};
-use crate::handles::{Counters, PeerHandle, PeerNews, Published, Received};
+use crate::handles::{Counters, PeerHandle, PeerView, Published, Received};
 use crate::options::{PeerAddress, PeerOptions};
 use dialers::Dialer;
 use hubs::Hub;
@@ -67,7 +67,7 @@
         });
         let received = Arc::new(Received {
             configuration: watch::Sender::new(None),
-            news: ArcSwap::from_pointee(PeerNews::default()),
+            news: ArcSwap::from_pointee(PeerView::default()),
             changes: watch::Sender::new(0),
             counters: Counters::default(),
         });
--- a/crates/anvilhook-peer/tests/links.rs
+++ b/crates/anvilhook-peer/tests/links.rs
@@ -14,7 +14,7 @@
     AccountDigest, AckSection, DemandSection, DrainAck, EngineDigest, LoadSection, PartnerOptions,
     ReportDigest, choose_partners,
 };
-use anvilhook_peer::{PeerAddress, PeerHandle, PeerKey, PeerLink, PeerNews, PeerOptions};
+use anvilhook_peer::{PeerAddress, PeerHandle, PeerKey, PeerLink, PeerOptions, PeerView};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
@@ -104,10 +104,10 @@
     AckSection { drains: vec![drain], terms: Vec::new() }
 }
 
-async fn wait_for(handle: &PeerHandle, met: impl Fn(&PeerNews) -> bool) {
+async fn wait_for(handle: &PeerHandle, met: impl Fn(&PeerView) -> bool) {
     let mut changes = handle.changes();
     let waiting = async {
-        while !met(&handle.news()) {
+        while !met(&handle.view()) {
             changes.changed().await.unwrap();
         }
     };
@@ -233,11 +233,11 @@
     // Assert.
     let name = &fixture.peers[stranger].name;
     for handle in &handles[..2] {
-        assert!(!handle.news().linked.contains(name));
-        assert!(!handle.news().acks.contains_key(name));
+        assert!(!handle.view().linked.contains(name));
+        assert!(!handle.view().acks.contains_key(name));
     }
     assert_eq!(handles[1].configurations().borrow().as_ref().unwrap().revision(), Revision(1));
-    assert!(handles[stranger].news().linked.is_empty());
+    assert!(handles[stranger].view().linked.is_empty());
     assert!(handles[stranger].configurations().borrow().is_none());
     assert_eq!(handles[stranger].counts().links_opened, 0);
 }
