--- a/crates/anvilhook-authority/src/keepers.rs
+++ b/crates/anvilhook-authority/src/controllers.rs
@@ -16,7 +16,7 @@
 use crate::circuit_breakers::CircuitBreaker;
 use crate::fleets::{Fleet, PeerHints};
 use crate::observations::{Observation, Observations};
-use crate::options::KeeperOptions;
+use crate::options::ControllerOptions;
 use crate::orphans::OrphanWatch;
 use crate::plans::PoolPlan;
 use crate::pools::HeldPool;
@@ -38,16 +38,16 @@
     pub clock: C,
 }
 
-/// `Keeper` holds authority over pools and carries out what is wanted of their engines.
+/// `Controller` holds authority over pools and carries out what is wanted of their engines.
 ///
 /// It does one thing after another: when a step has returned, none of its calls is under way. All
 /// that a step needs it reads or remembers, so a step may be given up at any point where it waits
 /// only together with the whole keeper.
 #[derive(Debug)]
-pub struct Keeper<T, E, L, C> {
+pub struct Controller<T, E, L, C> {
     me: InstanceName,
     services: Services<CircuitBreaker<T>, E, L, C>,
-    options: KeeperOptions,
+    options: ControllerOptions,
     session: SessionHolder,
     candidate: Candidate,
     fleet: Fleet,
@@ -66,9 +66,13 @@
     declared: BTreeSet<SocketAddr>,
 }
 
-impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Keeper<T, E, L, C> {
+impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Controller<T, E, L, C> {
     /// Makes the keeper of an instance. The name must be that of no earlier process.
-    pub fn new(me: InstanceName, services: Services<T, E, L, C>, options: KeeperOptions) -> Self {
+    pub fn new(
+        me: InstanceName,
+        services: Services<T, E, L, C>,
+        options: ControllerOptions,
+    ) -> Self {
         let Services { table, engines, instances, clock } = services;
         Self {
             services: Services { table: CircuitBreaker::new(table), engines, instances, clock },
--- a/crates/anvilhook-authority/src/keepers/instances.rs
+++ b/crates/anvilhook-authority/src/controllers/instances.rs
@@ -5,11 +5,11 @@
 use anvilhook_engine::EngineControl;
 use anvilhook_platform::{InstanceList, Table, Transaction, Write};
 
-use super::{Keeper, Services};
+use super::{Controller, Services};
 use crate::pools::HeldPool;
 use crate::rows;
 
-impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Keeper<T, E, L, C> {
+impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Controller<T, E, L, C> {
     /// Reads the instances where a drain or a former holder is awaited, and now and then otherwise.
     pub(super) async fn read_fleet(&mut self) {
         let awaits =
--- a/crates/anvilhook-authority/src/keepers/pools.rs
+++ b/crates/anvilhook-authority/src/controllers/pools.rs
@@ -5,7 +5,7 @@
 use anvilhook_engine::EngineControl;
 use anvilhook_platform::{InstanceList, Result, Table};
 
-use super::Keeper;
+use super::Controller;
 use crate::engines::Reconciler;
 use crate::observations::{Finding, kinds, list, reasons};
 use crate::orphans::orphans;
@@ -13,7 +13,7 @@
 use crate::pools::HeldPool;
 use crate::slots::SlotChange;
 
-impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Keeper<T, E, L, C> {
+impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Controller<T, E, L, C> {
     pub(super) async fn look(&mut self, plan: &PoolPlan) {
         let candidate = &mut self.candidate;
         let look = candidate.look(
--- a/crates/anvilhook-authority/src/keepers/releases.rs
+++ b/crates/anvilhook-authority/src/controllers/releases.rs
@@ -6,13 +6,13 @@
 use anvilhook_engine::EngineControl;
 use anvilhook_platform::{InstanceList, Result, Table};
 
-use super::Keeper;
+use super::Controller;
 use crate::fleets::Fleet;
 use crate::plans::PoolPlan;
 use crate::pools::HeldPool;
 use crate::slots::SlotChange;
 
-impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Keeper<T, E, L, C> {
+impl<T: Table, E: EngineControl, L: InstanceList, C: Clock> Controller<T, E, L, C> {
     /// Drops the pools that are not this instance's any more: its session has ended, the row names
     /// another, or a peer knows of a later term. The last is a hint, and following it is safe.
     /// Returns whether there were any.
--- a/crates/anvilhook-authority/src/engines.rs
+++ b/crates/anvilhook-authority/src/engines.rs
@@ -23,10 +23,10 @@
     changing_finding, fencing_finding, finding_of, lagging_finding, memory_is_unreachable,
     serving_finding, unreachable_finding,
 };
+use crate::controllers::Services;
 use crate::fleets::Fleet;
-use crate::keepers::Services;
 use crate::observations::{Finding, Observations, kinds, reasons};
-use crate::options::KeeperOptions;
+use crate::options::ControllerOptions;
 use crate::owners::OwnerView;
 use crate::plans::{EnginePlan, PoolPlan};
 use crate::pools::{HeldPool, RowChange};
@@ -84,7 +84,7 @@
 /// `Reconciler` brings the engines of a pool towards what is declared of them, in one step.
 pub(crate) struct Reconciler<'a, T, E, L, C> {
     pub services: &'a Services<T, E, L, C>,
-    pub options: &'a KeeperOptions,
+    pub options: &'a ControllerOptions,
     pub session: &'a mut SessionHolder,
     pub fleet: &'a Fleet,
     pub slots: &'a mut SlotView,
--- a/crates/anvilhook-authority/src/lib.rs
+++ b/crates/anvilhook-authority/src/lib.rs
@@ -1,16 +1,16 @@
 //! Authority over engines, carried out: leases kept, orders given, drains awaited.
 //!
-//! Every instance runs a `Keeper` and a `Follower`. The keeper takes the leases of pools that have
+//! Every instance runs a `Controller` and a `Follower`. The keeper takes the leases of pools that have
 //! no holder, and carries out what is wanted of the engines of those it holds. The follower goes by
 //! the drains that holders have marked, and acknowledges them. The rules are those of
 //! `anvilhook_core::{leases, authority, drains, membership}`; this crate adds the reads and writes.
 #![forbid(unsafe_code)]
 
 mod circuit_breakers;
+mod controllers;
 mod engines;
 mod fleets;
 mod followers;
-mod keepers;
 mod observations;
 mod options;
 mod orphans;
@@ -22,10 +22,10 @@
 mod slots;
 mod takeovers;
 
+pub use controllers::{Controller, Services};
 pub use fleets::{DrainHint, PeerHints, TermHint};
 pub use followers::{AckSchedule, Follower};
-pub use keepers::{Keeper, Services};
 pub use observations::{Observation, reasons};
-pub use options::KeeperOptions;
+pub use options::ControllerOptions;
 pub use plans::{DeclaredDrain, EnginePlan, PoolPlan};
 pub use rows::{DRAIN_ACK_PREFIX, OWNER_PREFIX, POOL_PREFIX, SESSION_PREFIX};
--- a/crates/anvilhook-authority/src/options.rs
+++ b/crates/anvilhook-authority/src/options.rs
@@ -7,16 +7,16 @@
 use anvilhook_core::units::Millis;
 use serde::{Deserialize, Serialize};
 
-/// `KeeperOptions` sets how a keeper holds authority.
+/// `ControllerOptions` sets how a keeper holds authority.
 ///
 /// ```
-/// use anvilhook_authority::KeeperOptions;
+/// use anvilhook_authority::ControllerOptions;
 ///
-/// assert!(KeeperOptions::default().check().is_ok());
+/// assert!(ControllerOptions::default().check().is_ok());
 /// ```
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct KeeperOptions {
+pub struct ControllerOptions {
     /// The lengths of leases; the same on all instances.
     pub lease: LeaseOptions,
     /// How long an order can be on its way.
@@ -40,7 +40,7 @@
     pub refusal_pause_ms: Millis,
 }
 
-impl KeeperOptions {
+impl ControllerOptions {
     /// Checks that the settings fit each other.
     ///
     /// # Errors
@@ -55,7 +55,7 @@
     }
 }
 
-impl Default for KeeperOptions {
+impl Default for ControllerOptions {
     fn default() -> Self {
         Self {
             lease: LeaseOptions::default(),
--- a/crates/anvilhook-authority/src/takeovers.rs
+++ b/crates/anvilhook-authority/src/takeovers.rs
@@ -10,9 +10,9 @@
 use anvilhook_core::units::{Clock, Millis};
 use anvilhook_platform::{Commit, InstanceList, Result, Table, Transaction};
 
+use crate::controllers::Services;
 use crate::fleets::Fleet;
-use crate::keepers::Services;
-use crate::options::KeeperOptions;
+use crate::options::ControllerOptions;
 use crate::pools::HeldPool;
 use crate::rows::{self, Stored};
 use crate::sessions::SessionHolder;
@@ -63,7 +63,7 @@
         &mut self,
         pool: &PoolName,
         services: &Services<T, E, L, C>,
-        options: &KeeperOptions,
+        options: &ControllerOptions,
         session: &mut SessionHolder,
         fleet: &Fleet,
     ) -> Result<Option<HeldPool>> {
@@ -132,7 +132,7 @@
         &mut self,
         row: &PoolRow,
         services: &Services<T, E, L, C>,
-        options: &KeeperOptions,
+        options: &ControllerOptions,
     ) -> Result<HolderSession> {
         let ended = HolderSession { view: SessionView::Ended, stored: None };
         let Some(holder) = &row.holder else { return Ok(ended) };
--- a/crates/anvilhook-authority/tests/drains.rs
+++ b/crates/anvilhook-authority/tests/drains.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use anvilhook_authority::{DRAIN_ACK_PREFIX, DeclaredDrain, KeeperOptions};
+use anvilhook_authority::{ControllerOptions, DRAIN_ACK_PREFIX, DeclaredDrain};
 use anvilhook_core::names::ResourceName;
 use anvilhook_core::resources::{DrainPlanSpec, DrainTarget, Fencing};
 use anvilhook_core::units::Millis;
@@ -95,7 +95,8 @@
     for steps in 0..12 {
         let case = format!("started after {steps} steps");
         // The instances are read seldom, so that a reading from before the mark is at hand.
-        let keeper = KeeperOptions { awaited_read_ms: Millis(3_000), ..KeeperOptions::default() };
+        let keeper =
+            ControllerOptions { awaited_read_ms: Millis(3_000), ..ControllerOptions::default() };
         let mut fleet = Fleet::new(FleetOptions { keeper, ..FleetOptions::default() });
         fleet.run_for(Millis(4_000)).await;
         if steps % 2 == 0 {
@@ -122,7 +123,8 @@
 async fn verify_the_instances_are_read_after_the_mark() {
     for wait in 0..8 {
         let case = format!("wanted {wait} steps after the start");
-        let keeper = KeeperOptions { awaited_read_ms: Millis(4_000), ..KeeperOptions::default() };
+        let keeper =
+            ControllerOptions { awaited_read_ms: Millis(4_000), ..ControllerOptions::default() };
         let options = FleetOptions { keeper, max_changing: 2, ..FleetOptions::default() };
         let mut fleet = Fleet::new(options);
         fleet.run_for(Millis(4_000)).await;
--- a/crates/anvilhook-authority/tests/takeovers.rs
+++ b/crates/anvilhook-authority/tests/takeovers.rs
@@ -2,7 +2,7 @@
 
 mod fixtures;
 
-use anvilhook_authority::KeeperOptions;
+use anvilhook_authority::ControllerOptions;
 use anvilhook_core::leases::SessionRow;
 use anvilhook_core::resources::Fencing;
 use anvilhook_core::units::Millis;
@@ -317,7 +317,7 @@
 async fn verify_of_two_successors_one_wins() {
     for delay in [Millis::ZERO, Millis(250), Millis(500)] {
         let case = format!("a delay of {delay}");
-        let mut keeper = KeeperOptions::default();
+        let mut keeper = ControllerOptions::default();
         keeper.candidates.first_interval_ms = Millis(250);
         keeper.candidates.last_interval_ms = Millis(250);
         let mut fleet = Fleet::new(FleetOptions { keeper, ..FleetOptions::default() });
--- a/crates/anvilhook-bench/src/control/keepers.rs
+++ b/crates/anvilhook-bench/src/control/controllers.rs
@@ -4,7 +4,9 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-use anvilhook_authority::{AckSchedule, Follower, Keeper, KeeperOptions, PoolPlan, Services};
+use anvilhook_authority::{
+    AckSchedule, Controller, ControllerOptions, Follower, PoolPlan, Services,
+};
 use anvilhook_core::names::InstanceName;
 use anvilhook_core::units::{Clock, SystemClock, WallTime};
 use anvilhook_daemon::instances::{mark_pause, peer_hints};
@@ -92,8 +94,8 @@
     }
 }
 
-/// `KeeperTask` runs an instance's keeper.
-pub(super) struct KeeperTask {
+/// `ControllerTask` runs an instance's keeper.
+pub(super) struct ControllerTask {
     pub(super) me: InstanceName,
     pub(super) platform: HttpPlatform,
     pub(super) clock: SystemClock,
@@ -103,12 +105,12 @@
     pub(super) stopping: watch::Receiver<bool>,
 }
 
-impl KeeperTask {
+impl ControllerTask {
     /// Runs until it is told to stop, and then gives up what it holds.
     pub(super) async fn run(mut self) -> eyre::Result<()> {
         let client = HttpClient::try_new(&ClientOptions::default())?;
         let mut rng = ChaCha8Rng::try_from_rng(&mut SysRng)?;
-        let options = KeeperOptions::default();
+        let options = ControllerOptions::default();
         let timeout = options.lease.call_timeout();
         let bounds = ControlOptions { timeout, ..ControlOptions::default() };
         let services = Services {
@@ -117,7 +119,7 @@
             instances: self.platform.clone(),
             clock: self.clock,
         };
-        let mut keeper = Keeper::new(self.me.clone(), services, options);
+        let mut keeper = Controller::new(self.me.clone(), services, options);
         let mut beat = tokio::time::interval(STEP);
         loop {
             tokio::select! {
--- a/crates/anvilhook-bench/src/control/instances.rs
+++ b/crates/anvilhook-bench/src/control/instances.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 
-use super::keepers::{AckBoard, DrainTask, KeeperTask};
+use super::controllers::{AckBoard, ControllerTask, DrainTask};
 
 /// The key of the measured links.
 const KEY: &[u8] = b"the key of the control bench, 32+";
@@ -123,7 +123,7 @@
             instances: count,
         };
         tasks.spawn(drains.run());
-        let keeper = KeeperTask {
+        let keeper = ControllerTask {
             me: address.name.clone(),
             platform: keeper_table,
             clock,
--- a/crates/anvilhook-bench/src/control/mod.rs
+++ b/crates/anvilhook-bench/src/control/mod.rs
@@ -4,10 +4,10 @@
 //! revision, and runs its peer link over the loopback, as the daemon does. Time in force counts from
 //! the moment at which the change was accepted.
 
+mod controllers;
 mod engines;
 mod fleets;
 mod instances;
-mod keepers;
 mod processes;
 mod rows;
 mod scenarios;
--- a/crates/anvilhook-daemon/src/instances/authorities.rs
+++ b/crates/anvilhook-daemon/src/instances/authorities.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex, PoisonError};
 
-use anvilhook_authority::{Follower, Keeper, Observation};
+use anvilhook_authority::{Controller, Follower, Observation};
 use anvilhook_core::names::{InstanceName, PoolName, ResourceName, UpstreamName};
 use anvilhook_core::resources::{
     Condition, ConditionState, Configuration, Kind, ResourceKey, ServiceBackend,
@@ -127,15 +127,15 @@
     }
 }
 
-/// `KeeperTask` keeps the pools that this instance holds.
+/// `ControllerTask` keeps the pools that this instance holds.
 #[derive(Debug)]
-pub(super) struct KeeperTask<T, E, L, C, U, K> {
+pub(super) struct ControllerTask<T, E, L, C, U, K> {
     pub name: InstanceName,
     pub clock: C,
     pub front: Front<C, U, K>,
     pub instances: watch::Sender<usize>,
     pub planners: RolePlanners,
-    pub keeper: Keeper<T, E, L, C>,
+    pub keeper: Controller<T, E, L, C>,
     pub follower: ConfigurationFollower<T>,
     pub statuses: StatusStore<T>,
     pub link: PeerHandle,
@@ -145,7 +145,7 @@
     pub shutdown: Shutdown,
 }
 
-impl<T, E, L, C, U, K> KeeperTask<T, E, L, C, U, K>
+impl<T, E, L, C, U, K> ControllerTask<T, E, L, C, U, K>
 where
     T: Table,
     E: EngineControl,
--- a/crates/anvilhook-daemon/src/instances/starts/spawns.rs
+++ b/crates/anvilhook-daemon/src/instances/starts/spawns.rs
@@ -1,6 +1,6 @@
 //! Starting the tasks of an instance.
 
-use anvilhook_authority::{AckSchedule, Follower, Keeper, KeeperOptions, Services};
+use anvilhook_authority::{AckSchedule, Controller, ControllerOptions, Follower, Services};
 use anvilhook_core::units::Clock;
 use anvilhook_engine::HttpUpstreams;
 use anvilhook_http::Phase;
@@ -10,7 +10,7 @@
 use anvilhook_store::{MembershipFollower, StatusStore};
 
 use super::{MEMBERSHIP_STREAM, Wiring, front_options};
-use crate::instances::authorities::{Acknowledged, DrainTask, KeeperTask};
+use crate::instances::authorities::{Acknowledged, ControllerTask, DrainTask};
 use crate::instances::caches::CachePoller;
 use crate::instances::errors::StartError;
 use crate::instances::loads::LoadTask;
@@ -146,13 +146,13 @@
         };
         let options = keeper_options(&self.settings.leases);
         options.check()?;
-        let keeper = KeeperTask {
+        let keeper = ControllerTask {
             name: self.name.clone(),
             clock: self.clock.clone(),
             front: self.front.clone(),
             instances: self.instances.clone(),
             planners: RolePlanners::new(self.settings.roles),
-            keeper: Keeper::new(self.name.clone(), services, options),
+            keeper: Controller::new(self.name.clone(), services, options),
             follower: self.follower.clone(),
             statuses: StatusStore::new(table),
             link: link.clone(),
@@ -165,6 +165,6 @@
     }
 }
 
-fn keeper_options(leases: &LeaseSettings) -> KeeperOptions {
-    KeeperOptions { lease: leases.options(), ..KeeperOptions::default() }
+fn keeper_options(leases: &LeaseSettings) -> ControllerOptions {
+    ControllerOptions { lease: leases.options(), ..ControllerOptions::default() }
 }
