--- a/crates/anvilhook-gateway/src/caches.rs
+++ b/crates/anvilhook-gateway/src/caches.rs
@@ -48,16 +48,16 @@
     }
 }
 
-/// `CacheBeliefs` follows, from the prompts that were sent, what each engine's cache should hold.
+/// `CacheIndex` follows, from the prompts that were sent, what each engine's cache should hold.
 ///
 /// The engines drop the parts that were used longest ago, and so does this. A wrong belief costs
 /// time, never a wrong answer: an engine reads what it does not hold.
 #[derive(Debug, Default)]
-pub struct CacheBeliefs {
+pub struct CacheIndex {
     engines: Mutex<HashMap<Arc<str>, Memory>>,
 }
 
-impl CacheBeliefs {
+impl CacheIndex {
     /// Makes beliefs of empty caches.
     pub fn new() -> Self {
         Self::default()
@@ -76,7 +76,13 @@
 
     /// Notes the same of a prompt of which another instance tells: the parts that others may share, and
     /// how many tokens it has beside. Those displace others and are not asked for again.
-    pub fn record_told(&self, engine: &Arc<str>, shared: &[Part], own_tokens: u32, capacity: u64) {
+    pub fn record_reported(
+        &self,
+        engine: &Arc<str>,
+        shared: &[Part],
+        own_tokens: u32,
+        capacity: u64,
+    ) {
         let usable = (capacity as f64 * USABLE_SHARE) as u64;
         let mut engines = self.engines.lock().expect("no panic under this lock");
         let memory = engines.entry(Arc::clone(engine)).or_default();
--- a/crates/anvilhook-gateway/src/duties/mod.rs
+++ b/crates/anvilhook-gateway/src/duties/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::clouds::{Authority, Cloud, CloudAnswer, UsageReport};
 use crate::events::{Event, emit};
-use crate::leases::{Lease, LeaseKeeper};
+use crate::leases::{Lease, LeaseManager};
 use crate::relay::Gateway;
 use crate::tables::Table;
 use crate::wires::Wire;
@@ -50,16 +50,16 @@
     pub late_calls: Millis,
 }
 
-/// `DutyKeeper` does what is due, if this instance is the one to do so.
+/// `DutyRunner` does what is due, if this instance is the one to do so.
 ///
 /// The first in rank acts. If it is cut off or gone, what is due stays undone, and the next in rank does
 /// it a while later; the lease and the fencing token keep the two apart.
-pub struct DutyKeeper<W: Wire, T: Table, C: Clock, P: Cloud> {
+pub struct DutyRunner<W: Wire, T: Table, C: Clock, P: Cloud> {
     gateway: Gateway<W, C>,
     clock: C,
     cloud: P,
     options: DutyOptions,
-    lease: LeaseKeeper<T, C>,
+    lease: LeaseManager<T, C>,
     reports: ReportBook<T>,
     planners: HashMap<Arc<str>, FleetPlanner>,
     usual_sizes: UsualSizes<T>,
@@ -76,7 +76,7 @@
     Later,
 }
 
-impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyKeeper<W, T, C, P> {
+impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyRunner<W, T, C, P> {
     /// Makes a keeper that holds no lease.
     pub fn new(
         gateway: Gateway<W, C>,
@@ -87,7 +87,7 @@
         options: DutyOptions,
     ) -> Self {
         let lease =
-            LeaseKeeper::new(table.clone(), clock.clone(), LEASE_ROW, holder, options.lease)
+            LeaseManager::new(table.clone(), clock.clone(), LEASE_ROW, holder, options.lease)
                 .with_late_calls(options.late_calls);
         Self {
             gateway,
@@ -107,13 +107,13 @@
         loop {
             tokio::time::sleep(LOOK_EVERY).await;
             if self.gateway.is_ready() {
-                self.look().await;
+                self.run_once().await;
             }
         }
     }
 
     /// Does what is due now, if this instance is the one to do so.
-    pub async fn look(&mut self) {
+    pub async fn run_once(&mut self) {
         let Some(rank) = self.gateway.peers().duty_rank(self.clock.now()) else { return };
         if let Some(due) = self.options.usage_due {
             self.report_due(rank, due).await;
--- a/crates/anvilhook-gateway/src/duties/sizes.rs
+++ b/crates/anvilhook-gateway/src/duties/sizes.rs
@@ -9,12 +9,12 @@
 use anvilhook_core::orders::Role;
 use anvilhook_core::units::{Clock, Millis};
 
-use super::DutyKeeper;
+use super::DutyRunner;
 use super::records::Record;
 use crate::clouds::{Authority, Cloud, CloudAnswer, FleetOrder};
 use crate::events::{Event, emit};
 use crate::fleets::Upstream;
-use crate::followers::LIST_BELIEF;
+use crate::followers::LIST_SOURCE;
 use crate::relay::Gateway;
 use crate::tables::{Table, TableError};
 use crate::wires::Wire;
@@ -70,7 +70,7 @@
     has: u32,
 }
 
-impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyKeeper<W, T, C, P> {
+impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyRunner<W, T, C, P> {
     /// Orders engines where there are too few or too many, if this instance is the one to do so.
     pub(super) async fn size_fleets(&mut self, rank: usize, options: SizeOptions) {
         let due = self.due_sizes(options);
@@ -169,13 +169,13 @@
             outcome: answer.as_str(),
         });
         if answer == CloudAnswer::Conflict {
-            self.lease.read_anew();
+            self.lease.reload();
         }
     }
 }
 
 fn list_age<W: Wire, C: Clock>(gateway: &Gateway<W, C>, now: Millis) -> Option<Millis> {
-    gateway.metrics().belief_age(LIST_BELIEF, now)
+    gateway.metrics().source_age(LIST_SOURCE, now)
 }
 
 /// Returns how many engines' worth of work there is, by what is believed of all instances' requests.
--- a/crates/anvilhook-gateway/src/entries.rs
+++ b/crates/anvilhook-gateway/src/entries.rs
@@ -26,16 +26,16 @@
 /// How long a removed entry's number is remembered.
 const TOMBSTONE_AGE: Millis = Millis::from_secs(120);
 
-/// `EntryBook` keeps the upstreams' entries through lapses and old reports.
+/// `EntryRegistry` keeps the upstreams' entries through lapses and old reports.
 #[derive(Debug, Default)]
-pub struct EntryBook {
+pub struct EntryRegistry {
     entries: HashMap<Arc<str>, Entry>,
     lapsed: HashMap<Arc<str>, Millis>,
     removed: HashMap<Arc<str>, Tombstone>,
     grace_until: Millis,
 }
 
-impl EntryBook {
+impl EntryRegistry {
     /// Makes an empty book.
     pub fn new() -> Self {
         Self::default()
--- a/crates/anvilhook-gateway/src/followers/entries.rs
+++ b/crates/anvilhook-gateway/src/followers/entries.rs
@@ -5,7 +5,7 @@
 use anvilhook_core::units::{Clock, Millis};
 
 use super::{Follow, UnreadableRows};
-use crate::entries::EntryBook;
+use crate::entries::EntryRegistry;
 use crate::fleets::Entry;
 use crate::peers::{FollowedTable, Peers};
 use crate::relay::Gateway;
@@ -17,13 +17,13 @@
 const GATHER_TIME: Millis = Millis(250);
 
 /// The list of upstreams as a belief, as metrics name it.
-pub(crate) const LIST_BELIEF: &str = "list";
+pub(crate) const LIST_SOURCE: &str = "list";
 
 /// `EntryFollower` keeps the gateway's fleet by the listed entries.
 pub struct EntryFollower<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     clock: C,
-    book: Arc<std::sync::Mutex<EntryBook>>,
+    book: Arc<std::sync::Mutex<EntryRegistry>>,
     unreadable: UnreadableRows,
 }
 
@@ -33,7 +33,7 @@
         Self { gateway, clock, book: Arc::default(), unreadable: UnreadableRows::default() }
     }
 
-    fn publish(&self, book: &EntryBook) {
+    fn publish(&self, book: &EntryRegistry) {
         self.gateway.adopt_entries(book.entries().cloned());
     }
 
@@ -124,7 +124,7 @@
     }
 
     fn heard(&mut self) {
-        self.gateway.record_contact(LIST_BELIEF);
+        self.gateway.record_contact(LIST_SOURCE);
     }
 
     fn sharers(&self) -> (Arc<Peers>, FollowedTable) {
--- a/crates/anvilhook-gateway/src/followers/following.rs
+++ b/crates/anvilhook-gateway/src/followers/following.rs
@@ -7,7 +7,7 @@
 
 use super::Follow;
 use crate::events::{Event, emit};
-use crate::peers::{FollowedTable, Peers, TableWatch, ToldRows};
+use crate::peers::{FollowedTable, Peers, RowChanges, TableWatch};
 use crate::tables::{Rows, Table, TableError};
 
 /// How long a call waits while the table is away. A call that was sent into the outage hears nothing
@@ -41,7 +41,7 @@
     /// What has changed, by a call of this instance.
     Changes(Rows),
     /// What has changed, as another instance tells.
-    Told(ToldRows),
+    Told(RowChanges),
 }
 
 /// `Outage` is a time in which the table can't be reached.
@@ -143,11 +143,11 @@
     /// Asks the table what has changed until now.
     async fn ask_table(&mut self) -> Result<Read, TableError> {
         self.called_at = self.clock.now();
-        let told = self.watch().version().told();
+        let told = self.watch().version().announced();
         let rows = self.table.changes(self.follower.table(), self.known(), NO_WAIT).await?;
         // What lies behind the rows that came is still to be asked for, but not what nobody can read.
         let asked = if rows.rows.is_empty() { told } else { told.min(rows.version) };
-        self.watch().version().record_asked(asked);
+        self.watch().version().record_queried(asked);
         Ok(Read::Changes(rows))
     }
 
@@ -158,10 +158,10 @@
         let known = self.known();
         let watch = self.watch();
         let missed = async {
-            watch.version().told_newer_than(known).await;
+            watch.version().wait_for_newer(known).await;
             tokio::time::sleep(TOLD_PATIENCE.as_duration()).await;
             for _ in 0..MAX_PEER_ASKS {
-                watch.ask_teller();
+                watch.request_resync();
                 self.peers.announce();
                 tokio::time::sleep(PEER_PATIENCE.as_duration()).await;
             }
@@ -187,7 +187,7 @@
         let known = self.known();
         let version = self.watch().version();
         let told = async {
-            version.told_newer_than(known).await;
+            version.wait_for_newer(known).await;
             tokio::time::sleep(TOLD_PATIENCE.as_duration()).await;
         };
         tokio::select! {
@@ -235,7 +235,7 @@
         // Whoever is told of rows has not met the outage itself, and gives entries that lapsed in it
         // as much time to be back.
         let away_at = self.watch().away_at();
-        if away_at > self.noted_away && !self.peers.are_few() {
+        if away_at > self.noted_away && !self.peers.is_full_mesh() {
             self.follower.regained(away_at);
             self.noted_away = away_at;
         }
@@ -257,7 +257,7 @@
         newest.is_some()
     }
 
-    fn take_changes(&mut self, told: ToldRows, source: &'static str) -> bool {
+    fn take_changes(&mut self, told: RowChanges, source: &'static str) -> bool {
         self.watch().mirror().apply(&told);
         if told.rows.is_empty() {
             return false;
@@ -274,9 +274,9 @@
     }
 
     /// Tells the other instances of the availability zone of rows that a call has brought.
-    fn tell(&self, told: &ToldRows) {
-        if !told.rows.is_empty() && !self.peers.are_few() && self.is_chosen() {
-            self.watch().tell_rows(told.clone());
+    fn tell(&self, told: &RowChanges) {
+        if !told.rows.is_empty() && !self.peers.is_full_mesh() && self.is_chosen() {
+            self.watch().queue_rows(told.clone());
             self.peers.announce();
         }
     }
--- a/crates/anvilhook-gateway/src/followers/mod.rs
+++ b/crates/anvilhook-gateway/src/followers/mod.rs
@@ -17,7 +17,7 @@
 
 pub use configs::ConfigFollower;
 pub use entries::EntryFollower;
-pub(crate) use entries::LIST_BELIEF;
+pub(crate) use entries::LIST_SOURCE;
 
 /// What passes beside a call's wait until a change is seen that a connection hid which has gone
 /// silent: the store's time for an answer, the gathering of changes, the next call, and a margin.
--- a/crates/anvilhook-gateway/src/instances.rs
+++ b/crates/anvilhook-gateway/src/instances.rs
@@ -20,14 +20,14 @@
 
 use crate::clouds::Cloud;
 use crate::controls;
-use crate::duties::{DutyKeeper, DutyOptions};
+use crate::duties::{DutyOptions, DutyRunner};
 use crate::events::{Event, emit};
 use crate::followers::{ConfigFollower, EntryFollower, follow, wait_within};
 use crate::peers;
 use crate::relay::{Gateway, GatewayOptions};
 use crate::reloads::{OptionSource, Reloader, Tunables};
-use crate::roles::{RoleKeeper, RoleOptions};
-use crate::speeds::meter_places;
+use crate::roles::{RoleController, RoleOptions};
+use crate::speeds::meter_slots;
 use crate::tables::{CountedTable, Table};
 use crate::wires::Wire;
 
@@ -123,12 +123,12 @@
     tokio::spawn(follow(table.clone(), clock.clone(), wait, config_follower));
     let entry_follower = EntryFollower::new(gateway.clone(), clock.clone());
     tokio::spawn(follow(table.clone(), clock.clone(), wait, entry_follower));
-    tokio::spawn(meter_places(gateway.clone(), clock.clone()));
+    tokio::spawn(meter_slots(gateway.clone(), clock.clone()));
     start_peers(&options, &gateway, &table, &clock).await?;
     if let Some(cloud) = backends.cloud {
         let (name, duties) = (options.name.to_string(), options.duties.clone());
         let (gateway, table, clock) = (gateway.clone(), table.clone(), clock.clone());
-        tokio::spawn(DutyKeeper::new(gateway, table, clock, cloud, name, duties).run());
+        tokio::spawn(DutyRunner::new(gateway, table, clock, cloud, name, duties).run());
     }
     let (zone, version) = (&*options.gateway.zone, env!("CARGO_PKG_VERSION"));
     emit(&Event::Started { zone, version });
@@ -141,16 +141,16 @@
             _ = terminate.recv() => break,
             _ = hangup.recv() => {
                 signalled("SIGHUP", gateway.in_flight());
-                reloader.look(true);
+                reloader.check(true);
             }
-            _ = looks.tick() => reloader.look(false),
+            _ = looks.tick() => reloader.check(false),
         }
     }
     let signalled_at = clock.now();
     signalled("SIGTERM", gateway.in_flight());
     // The time to stop may have been shortened since the last look, with or without a signal that still
     // waits. An instance that takes more than it has is killed in the midst of its answers.
-    reloader.look(false);
+    reloader.check(false);
     let latest = signalled_at + (reloader.tunables().grace - STOP_MARGIN);
     stop(&gateway, &shutdown, &clock, latest).await;
     let _ = tokio::time::timeout(FLUSH_TIME.as_duration(), serving).await;
@@ -182,8 +182,13 @@
     tokio::spawn(peers::seed_caches(gateway.clone(), clock.clone()));
     let name = options.name.to_string();
     tokio::spawn(peers::register(table.clone(), name.clone(), options.peer, peers));
-    let keeper =
-        RoleKeeper::new(gateway.clone(), table.clone(), clock.clone(), name, options.roles.clone());
+    let keeper = RoleController::new(
+        gateway.clone(),
+        table.clone(),
+        clock.clone(),
+        name,
+        options.roles.clone(),
+    );
     tokio::spawn(keeper.run());
     Ok(())
 }
--- a/crates/anvilhook-gateway/src/leases.rs
+++ b/crates/anvilhook-gateway/src/leases.rs
@@ -23,13 +23,13 @@
     pub until: Millis,
 }
 
-/// `LeaseKeeper` takes the lease and renews it.
+/// `LeaseManager` takes the lease and renews it.
 ///
 /// Orders of two instances must never mix. One row of the table is the lease; each taking of it
 /// has a higher version, which is the fencing token for as long as nobody else takes it. The holder
 /// counts from before it sent the write, everybody else from when it first saw the row, and both keep
 /// a guard.
-pub(crate) struct LeaseKeeper<T, C> {
+pub(crate) struct LeaseManager<T, C> {
     table: T,
     clock: C,
     row: &'static str,
@@ -44,7 +44,7 @@
     not_before: Millis,
 }
 
-impl<T: Table, C: Clock> LeaseKeeper<T, C> {
+impl<T: Table, C: Clock> LeaseManager<T, C> {
     /// Makes a keeper of the lease in a row, which it doesn't hold.
     pub fn new(table: T, clock: C, row: &'static str, holder: String, length: Millis) -> Self {
         Self {
@@ -77,7 +77,7 @@
     }
 
     /// Has the row read before the lease is used again.
-    pub fn read_anew(&mut self) {
+    pub fn reload(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.until = Millis::ZERO;
         }
--- a/crates/anvilhook-gateway/src/loads.rs
+++ b/crates/anvilhook-gateway/src/loads.rs
@@ -95,7 +95,7 @@
     ejection: Ejection,
     is_gone: AtomicBool,
     /// Whether that was learnt by this instance.
-    is_gone_by_own: AtomicBool,
+    is_observed_gone: AtomicBool,
     /// Until when its host refuses connections, and the same by what this instance has met.
     closed_until: AtomicU64,
     own_closed: AtomicU64,
@@ -130,7 +130,7 @@
             fetching_us: AtomicU64::new(0),
             ejection: Ejection::new(&options),
             is_gone: AtomicBool::new(false),
-            is_gone_by_own: AtomicBool::new(false),
+            is_observed_gone: AtomicBool::new(false),
             closed_until: AtomicU64::new(0),
             own_closed: AtomicU64::new(0),
             leaving_at: AtomicU64::new(0),
@@ -156,7 +156,7 @@
     }
 
     /// Returns whether it may be tried: it has not failed of late, and takes connections.
-    pub fn is_well(&self, now: Millis) -> bool {
+    pub fn is_healthy(&self, now: Millis) -> bool {
         let is_closed = now.0 < self.closed_until.load(Ordering::Acquire);
         !self.ejection.is_ejected(now) && !is_closed
     }
@@ -179,7 +179,7 @@
     }
 
     /// Returns whether this instance got an error so shortly ago that the others are told.
-    pub fn has_erred_of_late(&self, now: Millis) -> bool {
+    pub fn should_publish_error(&self, now: Millis) -> bool {
         let error_at = self.own_error_at.load(Ordering::Acquire);
         error_at > 0 && now < Millis(error_at) + ERROR_NEWS
     }
@@ -192,12 +192,12 @@
     /// Notes that another upstream answers at the address, so that this one is gone.
     pub fn mark_gone(&self, is_own: bool) {
         self.is_gone.store(true, Ordering::Release);
-        self.is_gone_by_own.fetch_or(is_own, Ordering::AcqRel);
+        self.is_observed_gone.fetch_or(is_own, Ordering::AcqRel);
     }
 
     /// Returns whether this instance itself has learnt that the upstream is gone.
-    pub fn is_gone_by_own(&self) -> bool {
-        self.is_gone_by_own.load(Ordering::Acquire)
+    pub fn is_observed_gone(&self) -> bool {
+        self.is_observed_gone.load(Ordering::Acquire)
     }
 
     /// Returns whether the upstream is known to be gone though it is still listed.
@@ -222,7 +222,7 @@
     }
 
     /// Returns whether the upstream told this instance so shortly ago that the others are told.
-    pub fn has_told_leaving_of_late(&self, now: Millis) -> bool {
+    pub fn should_publish_leaving(&self, now: Millis) -> bool {
         let at = self.own_leaving_at.load(Ordering::Acquire);
         at > 0 && now < Millis(at) + LEAVING_NEWS
     }
--- a/crates/anvilhook-gateway/src/metrics.rs
+++ b/crates/anvilhook-gateway/src/metrics.rs
@@ -285,7 +285,7 @@
     }
 
     /// Returns how long ago the source of a belief was heard, `None` if it never was.
-    pub fn belief_age(&self, belief: &str, now: Millis) -> Option<Millis> {
+    pub fn source_age(&self, belief: &str, now: Millis) -> Option<Millis> {
         let contacts = self.contacts.lock().expect("no panic under this lock");
         contacts.get(belief).map(|at| now - *at)
     }
@@ -313,7 +313,7 @@
     fn refresh<W: Wire, C: Clock>(&self, gateway: &Gateway<W, C>, now: Millis) {
         let label = |name: &str| NameLabel { name: name.to_owned() };
         self.in_flight.set(gateway.in_flight() as i64);
-        self.peers.set(gateway.peers().heard(now) as i64);
+        self.peers.set(gateway.peers().live_peers(now) as i64);
         let (suspected, quarantined) = gateway.suspects().counts(now);
         self.suspected_requests.set(suspected as i64);
         self.quarantined_requests.set(quarantined as i64);
--- a/crates/anvilhook-gateway/src/peers/changes.rs
+++ b/crates/anvilhook-gateway/src/peers/changes.rs
@@ -9,29 +9,29 @@
 /// How often all loads are told. They are believed for twice as long, so that a lost datagram does no harm.
 const WHOLE_EVERY: Millis = Millis(200);
 
-/// `ToldLoads` is an instance's loads as its availability zone was told them last.
+/// `PublishedLoads` is an instance's loads as its availability zone was told them last.
 ///
 /// An instance with work at a dozen engines tells all peers many times a second that one of those loads
 /// has changed. To name the others each time is most of what it sends, and fills a narrow link.
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
-/// use anvilhook_gateway::peers::{EngineLoad, ToldLoads};
+/// use anvilhook_gateway::peers::{EngineLoad, PublishedLoads};
 ///
 /// let load = |engine| EngineLoad { engine, in_flight: 1, reading_ms: 0, fetching_ms: 0 };
-/// let mut told = ToldLoads::default();
+/// let mut told = PublishedLoads::default();
 /// assert_eq!(told.next(&[load(1)], Millis(1_000)), (vec![load(1)], false));
 /// assert_eq!(told.next(&[load(1), load(2)], Millis(1_050)), (vec![load(2)], true));
 /// ```
 #[derive(Debug, Default)]
-pub struct ToldLoads {
+pub struct PublishedLoads {
     loads: HashMap<u32, EngineLoad>,
     /// The engines of which only some peers were told since.
     told_to_some: HashSet<u32>,
     whole_at: Option<Millis>,
 }
 
-impl ToldLoads {
+impl PublishedLoads {
     /// Returns which of the loads to tell now, and whether they are only those that have changed. An
     /// engine at which nothing is in flight any more is named with that.
     pub fn next(&mut self, loads: &[EngineLoad], now: Millis) -> (Vec<EngineLoad>, bool) {
--- a/crates/anvilhook-gateway/src/peers/digests.rs
+++ b/crates/anvilhook-gateway/src/peers/digests.rs
@@ -12,14 +12,14 @@
 use super::suspects::{MAX_SUSPECTS, take_in_suspects};
 use super::usages::take_in_usage;
 use super::versions::FollowedTable;
-use super::watches::ToldWatch;
+use super::watches::WatchState;
 use crate::hashes::hash_of;
 use crate::loads::{PeerLoad, Work};
 use crate::prompts::Part;
 use crate::relay::Gateway;
 use crate::speeds::EngineWork;
-use crate::suspects::SuspectNews;
-use crate::usage::UsageNews;
+use crate::suspects::SuspectUpdate;
+use crate::usage::UsageUpdate;
 use crate::wires::Wire;
 
 /// `EngineLoad` is what an instance has in flight at an engine.
@@ -54,9 +54,9 @@
     }
 }
 
-/// `ToldWork` is the work that a service's engines did for an instance since it started.
+/// `ServiceWork` is the work that a service's engines did for an instance since it started.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ToldWork {
+pub struct ServiceWork {
     /// The short form of the service's name.
     pub service: u32,
     /// Reading, in milliseconds of an engine.
@@ -119,17 +119,17 @@
     /// What the sender itself has found out of engines.
     pub notices: Vec<Notice>,
     /// What has become of requests under which engines may end.
-    pub suspects: Vec<SuspectNews>,
+    pub suspects: Vec<SuspectUpdate>,
     /// The work that engines did for the sender since it started, by service.
-    pub work: Vec<ToldWork>,
+    pub work: Vec<ServiceWork>,
     /// The short form of the sender's availability zone.
     pub zone: u32,
     /// The sender's watch over each of [`FollowedTable::ALL`].
-    pub watches: [ToldWatch; FollowedTable::ALL.len()],
+    pub watches: [WatchState; FollowedTable::ALL.len()],
     /// A part of changed rows of such a table.
     pub rows: Option<RowsPiece>,
     /// The usage of client accounts.
-    pub usage: Option<UsageNews>,
+    pub usage: Option<UsageUpdate>,
     /// A table of which the sender asks for what has changed since a version.
     pub asks: Option<(FollowedTable, u64)>,
 }
@@ -140,7 +140,7 @@
         Self {
             from: peers.number(),
             zone: peers.zone(),
-            watches: FollowedTable::ALL.map(|table| peers.watch_of(table).told(now)),
+            watches: FollowedTable::ALL.map(|table| peers.watch_of(table).state(now)),
             ..Self::default()
         }
     }
@@ -166,7 +166,7 @@
         digest.notices.extend(findings.map(|kind| Notice { engine, kind }));
     }
     digest.suspects = gateway.suspects().take_due(MAX_SUSPECTS, now);
-    let told = |(service, work): (Arc<str>, EngineWork)| ToldWork {
+    let told = |(service, work): (Arc<str>, EngineWork)| ServiceWork {
         service: hash_of(&*service) as u32,
         reading_ms: work.reading_ms as u32,
         generating_ms: work.generating_ms as u32,
@@ -226,7 +226,7 @@
             reading_ms: f64::from(told.reading_ms),
             generating_ms: f64::from(told.generating_ms),
         };
-        gateway.speeds().take_in_work(&service.name, digest.from, work, now);
+        gateway.speeds().merge_work(&service.name, digest.from, work, now);
     }
 }
 
@@ -273,6 +273,6 @@
         let parts: Vec<Part> = parts.collect();
         let capacity = engine.kv_tokens.0;
         let caches = gateway.caches();
-        caches.record_told(&upstream.entry.id, &parts, cached.own_tokens, capacity);
+        caches.record_reported(&upstream.entry.id, &parts, cached.own_tokens, capacity);
     }
 }
--- a/crates/anvilhook-gateway/src/peers/gathering.rs
+++ b/crates/anvilhook-gateway/src/peers/gathering.rs
@@ -22,7 +22,7 @@
 /// The most parts of one engine in a digest.
 const MAX_PARTS: usize = (DIGEST_BYTES - ENGINE_BYTES) / PART_BYTES;
 
-/// `CacheNews` is what engines have read, as it is to be told on by one instance to many.
+/// `CacheUpdates` is what engines have read, as it is to be told on by one instance to many.
 ///
 /// Whoever tells for an availability zone sends the readings of all other zones to each instance of its
 /// own. Told one by one they fill its link, and the requests that it serves are late. Nearly all of them
@@ -31,16 +31,16 @@
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
-/// use anvilhook_gateway::peers::{CacheNews, CachedPrompt};
+/// use anvilhook_gateway::peers::{CacheUpdates, CachedPrompt};
 ///
-/// let mut news = CacheNews::default();
+/// let mut news = CacheUpdates::default();
 /// news.add(&CachedPrompt { engine: 1, parts: vec![(7, 5_000)], own_tokens: 300 });
 /// news.add(&CachedPrompt { engine: 1, parts: vec![(7, 5_000)], own_tokens: 200 });
 /// let told = news.take(1, Millis(5_000));
 /// assert_eq!(told, [[CachedPrompt { engine: 1, parts: vec![(7, 5_000)], own_tokens: 500 }]]);
 /// ```
 #[derive(Debug, Default)]
-pub struct CacheNews {
+pub struct CacheUpdates {
     engines: BTreeMap<u32, EngineNews>,
     /// When each part of an engine was told of.
     told: HashMap<(u32, u64), Millis>,
@@ -55,7 +55,7 @@
     own_tokens: u32,
 }
 
-impl CacheNews {
+impl CacheUpdates {
     /// Adds a prompt that an engine has read.
     pub fn add(&mut self, cached: &CachedPrompt) {
         let engine = self.engines.entry(cached.engine).or_default();
--- a/crates/anvilhook-gateway/src/peers/members.rs
+++ b/crates/anvilhook-gateway/src/peers/members.rs
@@ -111,7 +111,7 @@
     /// Takes in what the instance at an address tells of its watches over the tables.
     pub(super) fn take_in_watches(&self, digest: &Digest, from: SocketAddr, now: Millis) {
         for (table, told) in FollowedTable::ALL.into_iter().zip(&digest.watches) {
-            self.watch_of(table).take_in(from, told, now);
+            self.watch_of(table).merge(from, told, now);
         }
     }
 
@@ -184,7 +184,7 @@
     /// Returns the addresses of the instances in other availability zones, once after this one was
     /// listed. They don't hear of it otherwise.
     pub(super) fn take_introductions(&self) -> Vec<SocketAddr> {
-        if !self.is_new.swap(false, Ordering::AcqRel) || self.are_few() {
+        if !self.is_new.swap(false, Ordering::AcqRel) || self.is_full_mesh() {
             return Vec::new();
         }
         self.far_zones().into_iter().flat_map(|zone| self.instances_of(zone)).collect()
@@ -201,7 +201,7 @@
     ///
     /// Several would otherwise send their next streams to the same last place, and all but one of them
     /// would wait there while other engines have room.
-    pub(crate) fn announce_place(&self) {
+    pub(crate) fn announce_slot(&self) {
         self.has_taken_place.store(true, Ordering::Release);
         self.announce();
     }
@@ -213,14 +213,14 @@
 
     /// Has the peers told at once if they are few. Among many, a datagram to each for the end of
     /// each work fills the slowest links, and the answers that instances send over them are late.
-    pub(crate) fn announce_to_few(&self) {
-        if self.are_few() {
+    pub(crate) fn announce_in_full_mesh(&self) {
+        if self.is_full_mesh() {
             self.announce();
         }
     }
 
     /// Returns whether the peers are so few that every digest goes to each.
-    pub(crate) fn are_few(&self) -> bool {
+    pub(crate) fn is_full_mesh(&self) -> bool {
         self.known.lock().expect("no panic under this lock").len() <= FEW_PEERS
     }
 
@@ -316,7 +316,7 @@
     }
 
     /// Returns how many peers were heard of late.
-    pub fn heard(&self, now: Millis) -> usize {
+    pub fn live_peers(&self, now: Millis) -> usize {
         let known = self.known.lock().expect("no panic under this lock");
         let heard = known.values().filter_map(|known| known.peer.as_ref());
         heard.filter(|peer| peer.heard_at + PEER_AGE > now).count()
@@ -332,7 +332,7 @@
     /// Returns whether this instance is to act for all: the least among few, and among many the one that
     /// tells for the first of the availability zones that are heard.
     pub fn is_first(&self, now: Millis) -> bool {
-        if self.are_few() {
+        if self.is_full_mesh() {
             return self.is_least_beside(None, now);
         }
         let zones = self.zones.lock().expect("no panic under this lock");
@@ -354,7 +354,7 @@
     /// Returns this instance's rank among those that act for all, from 0; `None` if it is none of them.
     /// Among few it is the place of its number, and among many each availability zone has one.
     pub fn duty_rank(&self, now: Millis) -> Option<usize> {
-        if self.are_few() {
+        if self.is_full_mesh() {
             let known = self.known.lock().expect("no panic under this lock");
             let heard = known.values().filter_map(|known| known.peer.as_ref());
             let running = heard.filter(|peer| peer.heard_at + PEER_AGE > now);
@@ -371,7 +371,7 @@
     /// Returns whether this instance is to tell a new one what it knows: the least among few, and among
     /// many the one that tells for its availability zone, with the new one left out.
     pub(super) fn introduces(&self, new: SocketAddr, now: Millis) -> bool {
-        if self.are_few() {
+        if self.is_full_mesh() {
             return self.is_least_beside(Some(new), now);
         }
         let known = self.known.lock().expect("no panic under this lock");
--- a/crates/anvilhook-gateway/src/peers/mirrors.rs
+++ b/crates/anvilhook-gateway/src/peers/mirrors.rs
@@ -4,7 +4,7 @@
 
 use anvilhook_core::watches::Span;
 
-use super::rows::ToldRows;
+use super::rows::RowChanges;
 use crate::tables::{Row, Rows};
 
 /// How many removed rows are remembered. Whoever has missed more reads the table whole.
@@ -30,7 +30,7 @@
 
     /// Takes in all rows as of one moment, and returns what has changed since the table was known, if it
     /// ever was.
-    pub fn reset(&mut self, rows: &Rows) -> Option<ToldRows> {
+    pub fn reset(&mut self, rows: &Rows) -> Option<RowChanges> {
         let changes = (self.known > 0).then(|| self.changes_to(rows));
         match &changes {
             Some(changes) => self.apply(changes),
@@ -44,7 +44,7 @@
         changes
     }
 
-    fn changes_to(&self, rows: &Rows) -> ToldRows {
+    fn changes_to(&self, rows: &Rows) -> RowChanges {
         let listed: HashSet<&str> = rows.rows.iter().map(|row| row.key.as_str()).collect();
         let standing = self.rows.values().filter(|row| row.value.is_some());
         let removed = standing.filter(|row| !listed.contains(row.key.as_str()));
@@ -57,12 +57,12 @@
     }
 
     /// Returns rows as they follow on what is known.
-    pub fn following(&self, rows: Rows) -> ToldRows {
-        ToldRows { span: Span { after: self.newest, to: rows.version }, rows: rows.rows }
+    pub fn following(&self, rows: Rows) -> RowChanges {
+        RowChanges { span: Span { after: self.newest, to: rows.version }, rows: rows.rows }
     }
 
     /// Takes in changed rows.
-    pub fn apply(&mut self, told: &ToldRows) {
+    pub fn apply(&mut self, told: &RowChanges) {
         self.known = self.known.max(told.span.to);
         self.newest = self.newest.max(told.newest());
         for row in &told.rows {
@@ -84,7 +84,7 @@
     }
 
     /// Returns what has changed since a version; `None` if that is not known whole, or nothing has.
-    pub fn since(&self, version: u64) -> Option<ToldRows> {
+    pub fn since(&self, version: u64) -> Option<RowChanges> {
         if version < self.complete_since || version >= self.known {
             return None;
         }
@@ -92,6 +92,6 @@
             self.rows.values().filter(|row| row.version > version).cloned().collect();
         rows.sort_by_key(|row| row.version);
         let span = Span { after: version, to: self.known };
-        (!rows.is_empty()).then_some(ToldRows { span, rows })
+        (!rows.is_empty()).then_some(RowChanges { span, rows })
     }
 }
--- a/crates/anvilhook-gateway/src/peers/mod.rs
+++ b/crates/anvilhook-gateway/src/peers/mod.rs
@@ -28,7 +28,7 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::net::UdpSocket;
 
-use crate::relay::{Gateway, PEER_BELIEF};
+use crate::relay::{Gateway, PEER_SOURCE};
 use crate::wires::Wire;
 
 use digests::take_in;
@@ -38,19 +38,19 @@
 use usages::{UsageTeller, take_in_usage};
 use zones::ZoneLink;
 
-pub use changes::ToldLoads;
-pub use digests::{CachedPrompt, Digest, EngineLoad, Scope, ToldWork};
-pub use gathering::CacheNews;
+pub use changes::PublishedLoads;
+pub use digests::{CachedPrompt, Digest, EngineLoad, Scope, ServiceWork};
+pub use gathering::CacheUpdates;
 pub use members::Peers;
 pub use mirrors::Mirror;
 pub use notices::{Notice, NoticeKind};
 pub use registration::register;
-pub use rows::{Assembler, RowsPiece, ToldRows, pieces_of};
+pub use rows::{Assembler, RowChanges, RowsPiece, pieces_of};
 pub use sections::{SectionBytes, SectionLabels};
 pub use seeding::seed_caches;
-pub(crate) use telling::GREAT_NEWS_MS;
+pub(crate) use telling::SIGNIFICANT_CHANGE_MS;
 pub use versions::{FollowedTable, TableVersion};
-pub use watches::{TableWatch, ToldWatch};
+pub use watches::{TableWatch, WatchState};
 
 /// The pause between two digests.
 const TELL_EVERY: Duration = Duration::from_millis(50);
@@ -94,7 +94,7 @@
                 match postcard::from_bytes::<Digest>(&buf[..len]) {
                     Ok(digest) => link.hear(digest, from, &socket, &gateway, clock.now()),
                     // No line: whoever sends datagrams could fill the log with them.
-                    Err(_) => gateway.metrics().record_unreadable(PEER_BELIEF),
+                    Err(_) => gateway.metrics().record_unreadable(PEER_SOURCE),
                 }
             }
         }
@@ -131,7 +131,7 @@
         now: Millis,
     ) {
         let peers = gateway.peers();
-        gateway.record_contact(PEER_BELIEF);
+        gateway.record_contact(PEER_SOURCE);
         if let Scope::Zone(teller) = digest.scope {
             // Another zone may have lost its way to a table that this one still reaches.
             digest.watches.iter_mut().for_each(|watch| watch.away_ms = None);
@@ -150,7 +150,7 @@
         if let Some(piece) = digest.rows.take() {
             let table = piece.table;
             if let Some(rows) = self.assembler.take(from, piece) {
-                peers.watch_of(table).hear_rows(rows);
+                peers.watch_of(table).receive_rows(rows);
             }
         }
         if let Some((table, known)) = digest.asks {
--- a/crates/anvilhook-gateway/src/peers/rows.rs
+++ b/crates/anvilhook-gateway/src/peers/rows.rs
@@ -27,16 +27,16 @@
 /// The bytes that a row takes beside its key and its value, at most.
 const ROW_BYTES: usize = 16;
 
-/// `ToldRows` is a part of a table's history.
+/// `RowChanges` is a part of a table's history.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct ToldRows {
+pub struct RowChanges {
     /// The part.
     pub span: Span,
     /// The rows that changed in it, in order.
     pub rows: Vec<Row>,
 }
 
-impl ToldRows {
+impl RowChanges {
     /// Returns the version of the newest change in it.
     pub fn newest(&self) -> u64 {
         self.rows.iter().map(|row| row.version).max().unwrap_or_default()
@@ -46,7 +46,7 @@
     ///
     /// Hundreds of engines that change at once are more than one span takes. Told of none of them, all
     /// instances of an availability zone would ask the table, and hear late of an upstream that leaves.
-    fn spans(&self) -> Vec<ToldRows> {
+    fn spans(&self) -> Vec<RowChanges> {
         let mut spans = Vec::new();
         let (mut after, mut rows, mut bytes) = (self.span.after, Vec::new(), 0);
         for row in &self.rows {
@@ -56,18 +56,18 @@
             // Rows of one transaction stay together: whoever knows one of them counts as knowing all.
             if bytes + size > SPAN_BYTES && last > after && row.version > last {
                 let span = Span { after, to: last };
-                spans.push(ToldRows { span, rows: std::mem::take(&mut rows) });
+                spans.push(RowChanges { span, rows: std::mem::take(&mut rows) });
                 (after, bytes) = (last, 0);
             }
             rows.push(row.clone());
             bytes += size;
         }
-        spans.push(ToldRows { span: Span { after, to: self.span.to }, rows });
+        spans.push(RowChanges { span: Span { after, to: self.span.to }, rows });
         spans
     }
 }
 
-/// `RowsPiece` is a part of the bytes of some [`ToldRows`].
+/// `RowsPiece` is a part of the bytes of some [`RowChanges`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowsPiece {
     /// The table.
@@ -88,7 +88,7 @@
 type EncodedRow<'a> = (&'a str, Option<&'a [u8]>, u64);
 
 /// Returns the pieces that tell of rows; none if they are too large to be told.
-pub fn pieces_of(table: FollowedTable, told: &ToldRows) -> Vec<RowsPiece> {
+pub fn pieces_of(table: FollowedTable, told: &RowChanges) -> Vec<RowsPiece> {
     let spans = told.spans();
     if spans.len() > MAX_SPANS {
         return Vec::new();
@@ -98,7 +98,7 @@
 }
 
 /// Returns the pieces of one span; `None` if they are too many.
-fn span_pieces(table: FollowedTable, told: &ToldRows) -> Option<Vec<RowsPiece>> {
+fn span_pieces(table: FollowedTable, told: &RowChanges) -> Option<Vec<RowsPiece>> {
     let rows = told.rows.iter().map(|row| (row.key.as_str(), row.value.as_deref(), row.version));
     let rows: Vec<EncodedRow<'_>> = rows.collect();
     let bytes = postcard::to_stdvec(&rows).ok()?;
@@ -138,17 +138,17 @@
     ///
     /// ```
     /// use anvilhook_core::watches::Span;
-    /// use anvilhook_gateway::peers::{Assembler, FollowedTable, ToldRows, pieces_of};
+    /// use anvilhook_gateway::peers::{Assembler, FollowedTable, RowChanges, pieces_of};
     /// use anvilhook_gateway::tables::Row;
     ///
     /// let row = Row { key: "a".to_owned(), value: Some("b".repeat(2_000).into()), version: 7 };
-    /// let told = ToldRows { span: Span { after: 5, to: 9 }, rows: vec![row] };
+    /// let told = RowChanges { span: Span { after: 5, to: 9 }, rows: vec![row] };
     /// let pieces = pieces_of(FollowedTable::Config, &told);
     /// let (mut assembler, from) = (Assembler::default(), ([127, 0, 0, 1], 1).into());
     /// assert_eq!(assembler.take(from, pieces[1].clone()), None);
     /// assert_eq!(assembler.take(from, pieces[0].clone()), Some(told));
     /// ```
-    pub fn take(&mut self, from: SocketAddr, piece: RowsPiece) -> Option<ToldRows> {
+    pub fn take(&mut self, from: SocketAddr, piece: RowsPiece) -> Option<RowChanges> {
         let RowsPiece { table, after, to, index, count, bytes } = piece;
         let (index, count) = (usize::from(index), usize::from(count));
         if index >= count || count > MAX_PIECES {
@@ -166,7 +166,7 @@
         }
         let partial = self.partial.remove(&(from, table))?;
         let bytes: Vec<u8> = partial.pieces.into_iter().flatten().flatten().collect();
-        Some(ToldRows { span, rows: decode(&bytes)? })
+        Some(RowChanges { span, rows: decode(&bytes)? })
     }
 }
 
--- a/crates/anvilhook-gateway/src/peers/seeding.rs
+++ b/crates/anvilhook-gateway/src/peers/seeding.rs
@@ -13,7 +13,7 @@
 use super::telling::send;
 use crate::events::{Event, emit};
 use crate::prompts::Part;
-use crate::relay::{Gateway, TOLD_TOKENS};
+use crate::relay::{Gateway, MIN_PUBLISHED_TOKENS};
 use crate::wires::Wire;
 
 /// The parts in one digest for a new instance.
@@ -35,7 +35,7 @@
     now: Millis,
 ) {
     let view = gateway.fleet().view();
-    for (engine, parts) in gateway.caches().shared_parts(TOLD_TOKENS) {
+    for (engine, parts) in gateway.caches().shared_parts(MIN_PUBLISHED_TOKENS) {
         let Some(upstream) = view.get(&engine) else { continue };
         for parts in parts.chunks(PARTS_A_DIGEST) {
             let parts = parts.iter().map(|part| (part.id, part.tokens)).collect();
@@ -55,7 +55,7 @@
         tokio::time::sleep(TELL_EVERY).await;
     }
     let peers = gateway.peers();
-    tokio::time::sleep(if peers.are_few() { SEED_DELAY } else { SEED_DELAY_OF_MANY }).await;
+    tokio::time::sleep(if peers.is_full_mesh() { SEED_DELAY } else { SEED_DELAY_OF_MANY }).await;
     if peers.was_told() || !peers.is_first(clock.now()) {
         return;
     }
@@ -63,7 +63,7 @@
     let engines = view.all().filter(|upstream| upstream.role() == Some(Role::Prefill));
     let readings = engines.map(async |engine| (engine, gateway.read_cache(engine).await));
     let mut caches = futures_util::future::join_all(readings).await;
-    if !peers.are_few() {
+    if !peers.is_full_mesh() {
         keep_shared(&mut caches);
     }
     for (engine, parts) in &caches {
--- a/crates/anvilhook-gateway/src/peers/suspects.rs
+++ b/crates/anvilhook-gateway/src/peers/suspects.rs
@@ -9,7 +9,7 @@
 use super::digests::Digest;
 use super::telling::send;
 use crate::relay::Gateway;
-use crate::suspects::SuspectNews;
+use crate::suspects::SuspectUpdate;
 use crate::wires::Wire;
 
 /// The most news of suspects in one digest.
@@ -41,11 +41,11 @@
         }
         self.told_at = now;
         let peers = gateway.peers();
-        let news = gateway.suspects().standing_news(now);
+        let news = gateway.suspects().active_updates(now);
         if news.is_empty() {
             return;
         }
-        let audience = match peers.are_few() {
+        let audience = match peers.is_full_mesh() {
             true if peers.is_first(now) => peers.addresses(now),
             false if peers.zone_teller(now).is_none() => peers.zone_peers(now),
             _ => return,
@@ -61,13 +61,13 @@
     gateway: &Gateway<W, C>,
     now: Millis,
 ) {
-    let mut news = gateway.suspects().all_news(now);
+    let mut news = gateway.suspects().all_updates(now);
     news.truncate(MAX_DIGESTS * MAX_SUSPECTS);
     send_news(news, &[to], socket, gateway, now);
 }
 
 fn send_news<W: Wire, C: Clock>(
-    news: Vec<SuspectNews>,
+    news: Vec<SuspectUpdate>,
     addresses: &[SocketAddr],
     socket: &UdpSocket,
     gateway: &Gateway<W, C>,
@@ -87,7 +87,7 @@
     now: Millis,
 ) {
     for news in &digest.suspects {
-        if gateway.suspects().take_in(news, gateway.peers().number(), now) {
+        if gateway.suspects().apply(news, gateway.peers().number(), now) {
             gateway.log_quarantine(news.request, "told");
         }
     }
--- a/crates/anvilhook-gateway/src/peers/telling.rs
+++ b/crates/anvilhook-gateway/src/peers/telling.rs
@@ -8,10 +8,10 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::net::UdpSocket;
 
-use super::changes::ToldLoads;
+use super::changes::PublishedLoads;
 use super::digests::{Digest, digest};
 use super::notices::Notice;
-use super::rows::{ToldRows, pieces_of};
+use super::rows::{RowChanges, pieces_of};
 use super::versions::FollowedTable;
 use crate::relay::Gateway;
 use crate::wires::Wire;
@@ -26,7 +26,7 @@
 
 /// By how much an engine's work must have changed to be great news, in milliseconds of reading.
 /// Instances that do not know of it would all send their next prompts to the same engine.
-pub(crate) const GREAT_NEWS_MS: u32 = 25;
+pub(crate) const SIGNIFICANT_CHANGE_MS: u32 = 25;
 
 /// `Teller` tells the others.
 pub(super) struct Teller {
@@ -37,7 +37,7 @@
     /// The prompt work at each engine as all peers were told it last, in milliseconds.
     told_to_all: HashMap<u32, u32>,
     /// The loads as the availability zone was told them last.
-    told_loads: ToldLoads,
+    told_loads: PublishedLoads,
     /// The notices that the others were given last.
     told_notices: Vec<Notice>,
     /// Whether the others were told last that this instance does not reach the tables.
@@ -63,7 +63,7 @@
             quiet_ticks: 0,
             had_loads: false,
             told_to_all: HashMap::new(),
-            told_loads: ToldLoads::default(),
+            told_loads: PublishedLoads::default(),
             told_notices: Vec::new(),
             told_unable: Vec::new(),
         }
@@ -82,7 +82,7 @@
             // That work ends is no news where there are many: each can tell from its size.
             if is_among_few { now.abs_diff(before) } else { now.saturating_sub(before) }
         });
-        let has_changed = changes.any(|change| change >= GREAT_NEWS_MS);
+        let has_changed = changes.any(|change| change >= SIGNIFICANT_CHANGE_MS);
         // A notice holds for seconds; to tell all of it with each digest would choke the links.
         let is_in = |notices: &[Notice], notice: &Notice| notices.iter().any(|n| n.is_same(notice));
         let has_notice = digest.notices.iter().any(|notice| !is_in(&self.told_notices, notice));
@@ -116,7 +116,7 @@
             return None;
         }
         self.had_loads = has_loads;
-        let is_among_few = gateway.peers().are_few();
+        let is_among_few = gateway.peers().is_full_mesh();
         let is_great =
             self.has_great_news(&digest, is_among_few) | gateway.peers().take_place_news();
         // Each may be sent the next repeat of what has just ended an engine.
@@ -222,7 +222,7 @@
 
 fn send_rows<W: Wire, C: Clock>(
     table: FollowedTable,
-    rows: &ToldRows,
+    rows: &RowChanges,
     addresses: &[SocketAddr],
     socket: &UdpSocket,
     gateway: &Gateway<W, C>,
--- a/crates/anvilhook-gateway/src/peers/usages.rs
+++ b/crates/anvilhook-gateway/src/peers/usages.rs
@@ -43,13 +43,13 @@
         }
         let peers = gateway.peers();
         let mut audience =
-            if peers.are_few() { peers.addresses(now) } else { peers.tellers(TELLERS, now) };
+            if peers.is_full_mesh() { peers.addresses(now) } else { peers.tellers(TELLERS, now) };
         audience.sort_unstable();
         if audience != self.told {
-            gateway.usage().tell_all_again();
+            gateway.usage().resend_all();
             self.told = audience;
         }
-        while let Some(news) = gateway.usage().take_news(now) {
+        while let Some(news) = gateway.usage().take_update(now) {
             let digest = Digest { usage: Some(news), ..Digest::partial(peers, now) };
             send(&digest, &self.told, socket, gateway);
         }
@@ -63,7 +63,7 @@
     now: Millis,
 ) -> Vec<Digest> {
     let peers = gateway.peers();
-    let news = gateway.usage().zone_news(peers.zone(), now).into_iter();
+    let news = gateway.usage().zone_updates(peers.zone(), now).into_iter();
     news.map(|news| Digest { scope, usage: Some(news), ..Digest::partial(peers, now) }).collect()
 }
 
@@ -79,5 +79,5 @@
         Scope::Zone(_) => Source::Zone(digest.zone),
         Scope::Far => return,
     };
-    gateway.usage().take_in(source, news, now);
+    gateway.usage().merge(source, news, now);
 }
--- a/crates/anvilhook-gateway/src/peers/versions.rs
+++ b/crates/anvilhook-gateway/src/peers/versions.rs
@@ -48,7 +48,7 @@
     }
 
     /// Notes that a peer tells of a change. Returns whether it is newer than what this instance has read.
-    pub fn record_told(&self, version: u64) -> bool {
+    pub fn record_announced(&self, version: u64) -> bool {
         if self.told.fetch_max(version, Ordering::AcqRel) < version {
             self.news.notify_waiters();
         }
@@ -58,12 +58,12 @@
     /// Returns whether the newest version told of is newer than `followed` and the table has not been
     /// asked for it. A version that nobody can read would otherwise have it asked for ever.
     fn is_newer_than(&self, followed: u64) -> bool {
-        let told = self.told();
+        let told = self.announced();
         told > followed && told > self.asked.load(Ordering::Acquire)
     }
 
     /// Waits until a peer has told of a change after `followed`.
-    pub async fn told_newer_than(&self, followed: u64) {
+    pub async fn wait_for_newer(&self, followed: u64) {
         loop {
             let news = self.news.notified();
             if self.is_newer_than(followed) {
@@ -74,12 +74,12 @@
     }
 
     /// Returns the newest version told of.
-    pub fn told(&self) -> u64 {
+    pub fn announced(&self) -> u64 {
         self.told.load(Ordering::Acquire)
     }
 
     /// Notes that the table has answered a call that was made when `told` was the newest version told of.
-    pub fn record_asked(&self, told: u64) {
+    pub fn record_queried(&self, told: u64) {
         self.asked.fetch_max(told, Ordering::AcqRel);
     }
 }
--- a/crates/anvilhook-gateway/src/peers/watches.rs
+++ b/crates/anvilhook-gateway/src/peers/watches.rs
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 
 use super::mirrors::Mirror;
-use super::rows::ToldRows;
+use super::rows::RowChanges;
 use super::versions::TableVersion;
 
 /// The most spans that wait to be taken in. More come only where the follower is held up, and then
@@ -22,9 +22,9 @@
 /// two seconds to be back.
 const AWAY_NEWS: Millis = Millis(3_000);
 
-/// `ToldWatch` is what an instance tells of its watch over a table.
+/// `WatchState` is what an instance tells of its watch over a table.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
-pub struct ToldWatch {
+pub struct WatchState {
     /// The version of the newest change that it has read, or was told of.
     pub newest: u64,
     /// Whether it did not reach the table when it tried last.
@@ -41,8 +41,8 @@
     unable_until: AtomicU64,
     /// When the table was last known to be away; 0 if it never was.
     away_at: AtomicU64,
-    heard: Mutex<VecDeque<ToldRows>>,
-    to_tell: Mutex<Vec<ToldRows>>,
+    heard: Mutex<VecDeque<RowChanges>>,
+    to_tell: Mutex<Vec<RowChanges>>,
     mirror: Mutex<Mirror>,
     /// Who has told of the newest change, while this instance does not know it.
     newest_teller: Mutex<Option<SocketAddr>>,
@@ -84,11 +84,11 @@
     /// Where the table turns away the instances of a zone one after the other that would read it for the
     /// rest, only the one that links the zone with others hears that there is a change. Each that hears of
     /// it from that one asks the table itself.
-    pub fn told(&self, now: Millis) -> ToldWatch {
+    pub fn state(&self, now: Millis) -> WatchState {
         let away_at = self.away_at();
         let is_news = away_at > Millis::ZERO && now < away_at + AWAY_NEWS;
-        ToldWatch {
-            newest: self.version.own().max(self.version.told()),
+        WatchState {
+            newest: self.version.own().max(self.version.announced()),
             is_unable: self.is_unable(now),
             away_ms: is_news.then(|| (now - away_at).0 as u32),
         }
@@ -100,8 +100,8 @@
     }
 
     /// Takes in what the instance at an address tells.
-    pub fn take_in(&self, from: SocketAddr, told: &ToldWatch, now: Millis) {
-        if self.version.record_told(told.newest) {
+    pub fn merge(&self, from: SocketAddr, told: &WatchState, now: Millis) {
+        if self.version.record_announced(told.newest) {
             *self.newest_teller.lock().expect("no panic under this lock") = Some(from);
         }
         if let Some(away_ms) = told.away_ms {
@@ -110,7 +110,7 @@
     }
 
     /// Has the instance that told of the newest change asked for what this one has missed.
-    pub fn ask_teller(&self) {
+    pub fn request_resync(&self) {
         let teller = *self.newest_teller.lock().expect("no panic under this lock");
         *self.to_ask.lock().expect("no panic under this lock") = teller;
     }
@@ -121,18 +121,18 @@
     }
 
     /// Has the other instances of the availability zone told of rows.
-    pub fn tell_rows(&self, rows: ToldRows) {
+    pub fn queue_rows(&self, rows: RowChanges) {
         self.to_tell.lock().expect("no panic under this lock").push(rows);
     }
 
     /// Takes what the others are to be told.
-    pub fn take_to_tell(&self) -> Vec<ToldRows> {
+    pub fn take_to_tell(&self) -> Vec<RowChanges> {
         std::mem::take(&mut *self.to_tell.lock().expect("no panic under this lock"))
     }
 
     /// Notes rows that another instance has read.
-    pub fn hear_rows(&self, rows: ToldRows) {
-        self.version.record_told(rows.newest());
+    pub fn receive_rows(&self, rows: RowChanges) {
+        self.version.record_announced(rows.newest());
         let mut heard = self.heard.lock().expect("no panic under this lock");
         if heard.len() >= MAX_WAITING {
             heard.pop_front();
@@ -144,7 +144,7 @@
 
     /// Waits for rows that continue what is known up to version `known`. They come with only those
     /// rows that are newer.
-    pub async fn next_rows(&self, known: u64) -> ToldRows {
+    pub async fn next_rows(&self, known: u64) -> RowChanges {
         loop {
             if let Some(rows) = self.take_next(known) {
                 return rows;
@@ -153,7 +153,7 @@
         }
     }
 
-    fn take_next(&self, known: u64) -> Option<ToldRows> {
+    fn take_next(&self, known: u64) -> Option<RowChanges> {
         let mut heard = self.heard.lock().expect("no panic under this lock");
         let at = heard.iter().position(|rows| rows.span.fits(known) == Continuity::Next);
         // What was told before it is known, or lies behind a gap that is filled from the table.
--- a/crates/anvilhook-gateway/src/peers/zones.rs
+++ b/crates/anvilhook-gateway/src/peers/zones.rs
@@ -14,13 +14,13 @@
 
 use super::Peers;
 use super::digests::{Digest, EngineLoad, Scope, near_loads, take_in};
-use super::gathering::CacheNews;
+use super::gathering::CacheUpdates;
 use super::notices::Notice;
 use super::suspects::MAX_SUSPECTS;
 use super::telling::{send, some_of};
 use super::usages::zone_usage;
 use crate::relay::Gateway;
-use crate::suspects::SuspectNews;
+use crate::suspects::SuspectUpdate;
 use crate::wires::Wire;
 
 /// After how many ticks zones are told: what is told less often is too old to place requests by, and
@@ -77,9 +77,9 @@
 /// `News` is what is to be told on.
 #[derive(Default)]
 struct News {
-    cached: CacheNews,
+    cached: CacheUpdates,
     notices: Vec<(Millis, Notice)>,
-    suspects: Vec<(Millis, SuspectNews)>,
+    suspects: Vec<(Millis, SuspectUpdate)>,
 }
 
 impl News {
@@ -99,7 +99,7 @@
     }
 
     /// Returns the suspects that are still told of.
-    fn suspects(&mut self, now: Millis) -> Vec<SuspectNews> {
+    fn suspects(&mut self, now: Millis) -> Vec<SuspectUpdate> {
         self.suspects.retain(|(heard_at, _)| *heard_at + NOTICE_AGE > now);
         self.suspects.iter().map(|(heard_at, news)| news.after(now - *heard_at)).collect()
     }
@@ -182,7 +182,7 @@
         now: Millis,
     ) {
         let peers = gateway.peers();
-        if peers.are_few() || peers.zone_teller(now).is_some() {
+        if peers.is_full_mesh() || peers.zone_teller(now).is_some() {
             (self.outgoing, self.incoming) = (News::default(), News::default());
             return;
         }
--- a/crates/anvilhook-gateway/src/placements.rs
+++ b/crates/anvilhook-gateway/src/placements.rs
@@ -7,7 +7,7 @@
 use anvilhook_core::speeds::ReadingCost;
 use anvilhook_core::units::Millis;
 
-use crate::caches::CacheBeliefs;
+use crate::caches::CacheIndex;
 use crate::configs::EngineSpec;
 use crate::fleets::{FleetView, Upstream};
 use crate::hashes::hash_of;
@@ -60,7 +60,7 @@
     /// The upstreams as they are listed now.
     pub view: &'a FleetView,
     /// What the caches hold.
-    pub caches: &'a CacheBeliefs,
+    pub caches: &'a CacheIndex,
     /// What engines of the service need to read prompts.
     pub speed: &'a ReadingCost,
     /// How long an output takes in the mean, in milliseconds. Whoever finds an engine's places taken
@@ -253,7 +253,7 @@
         // Ejection must not empty a stage: with every engine ejected, all are tried again.
         let well = move |upstream: &&Arc<Upstream>| {
             let has_bad_handles = upstream.state.has_bad_handles(self.now);
-            upstream.state.is_well(self.now) && !has_bad_handles
+            upstream.state.is_healthy(self.now) && !has_bad_handles
         };
         let any_well = all.iter().filter(able).any(|upstream| well(&upstream));
         all.iter().filter(able).filter(move |upstream| !any_well || well(upstream))
--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -17,10 +17,10 @@
 use super::answers::WholeAnswer;
 use super::requests::{Exchange, end_to_end};
 use super::waiting::Wait;
-use super::{Gateway, PEER_BELIEF};
+use super::{Gateway, PEER_SOURCE};
 use crate::events::{Event, emit};
 use crate::fleets::Upstream;
-use crate::followers::LIST_BELIEF;
+use crate::followers::LIST_SOURCE;
 use crate::loads::RoleObservation;
 use crate::metrics::AttemptLabels;
 use crate::wires::Wire;
@@ -197,7 +197,7 @@
 
     fn log_placed(&self, exchange: &Exchange, sending: &Sending<'_>) {
         let now = self.now();
-        let age = |belief| self.inner.metrics.belief_age(belief, now).map(|age| age.0);
+        let age = |belief| self.inner.metrics.source_age(belief, now).map(|age| age.0);
         emit(&Event::Placed {
             request: &exchange.id,
             upstream: &sending.upstream.entry.id,
@@ -208,8 +208,8 @@
             pace: sending.wait.pace.as_str(),
             in_flight: sending.upstream.state.work(now).in_flight,
             source: sending.source.as_deref(),
-            list_age_ms: age(LIST_BELIEF),
-            peers_age_ms: age(PEER_BELIEF),
+            list_age_ms: age(LIST_SOURCE),
+            peers_age_ms: age(PEER_SOURCE),
         });
     }
 
@@ -465,7 +465,7 @@
         let Some(alone) = upstream.state.record_error(instance, is_own, now) else { return };
         let view = self.fleet().view();
         let all = view.of_service(&upstream.entry.service);
-        let ejected = all.iter().filter(|one| !one.state.is_well(now)).count();
+        let ejected = all.iter().filter(|one| !one.state.is_healthy(now)).count();
         if !may_eject(all.len(), ejected) {
             return;
         }
--- a/crates/anvilhook-gateway/src/relay/examining.rs
+++ b/crates/anvilhook-gateway/src/relay/examining.rs
@@ -15,7 +15,7 @@
 use super::requests::Exchange;
 use crate::events::{Event, Evidence, emit};
 use crate::fleets::Upstream;
-use crate::suspects::Break;
+use crate::suspects::Interruption;
 use crate::wires::Wire;
 
 /// The pause between two looks at an engine, and how long it is looked at in all. Its entry lapses well
@@ -89,15 +89,15 @@
         failed: &Failed,
     ) {
         let how = match failed.ending {
-            Ending::Broken => Break::Broken,
-            Ending::Silent => Break::Silent,
+            Ending::Broken => Interruption::Broken,
+            Ending::Silent => Interruption::Silent,
             Ending::Unharmed => return,
         };
         // The end of one that leaves is its own.
         if upstream.is_leaving() {
             return;
         }
-        if self.suspects().note_break(upstream.digest, exchange.fingerprint, how) {
+        if self.suspects().record_interruption(upstream.digest, exchange.fingerprint, how) {
             let (gateway, upstream) = (self.clone(), Arc::clone(upstream));
             tokio::spawn(async move { gateway.examine(&upstream).await });
         }
--- a/crates/anvilhook-gateway/src/relay/generating.rs
+++ b/crates/anvilhook-gateway/src/relay/generating.rs
@@ -152,7 +152,7 @@
         let held = Held::with_work(Arc::clone(upstream), work.reading_ms, work.fetching_ms);
         let in_flight = upstream.state.work(self.now()).in_flight;
         if upstream.role().is_some() && in_flight * 2 > upstream.entry.slots {
-            self.peers().announce_place();
+            self.peers().announce_slot();
         }
         let connection = if exchange.runs > 0 { Connection::New } else { Connection::Pooled };
         let sending = Sending {
--- a/crates/anvilhook-gateway/src/relay/handles.rs
+++ b/crates/anvilhook-gateway/src/relay/handles.rs
@@ -8,7 +8,7 @@
 use http::header::{CONTENT_TYPE, HeaderMap, HeaderValue};
 use volo_http::body::Body;
 
-use super::{Gateway, TOLD_TOKENS};
+use super::{Gateway, MIN_PUBLISHED_TOKENS};
 use crate::fleets::Upstream;
 use crate::prompts::Part;
 use crate::wires::{Call, Wire};
@@ -72,7 +72,7 @@
         let answer = self.own_call(upstream, &self.wire().cache_list()).await;
         let parts = answer.and_then(|answer| self.wire().cached_parts(&answer.body).ok());
         let mut parts = parts.unwrap_or_default();
-        parts.retain(|part| part.tokens >= TOLD_TOKENS);
+        parts.retain(|part| part.tokens >= MIN_PUBLISHED_TOKENS);
         parts
     }
 
--- a/crates/anvilhook-gateway/src/relay/mod.rs
+++ b/crates/anvilhook-gateway/src/relay/mod.rs
@@ -30,7 +30,7 @@
 use volo_http::response::Response;
 
 use crate::budgets::{Budget, BudgetOptions};
-use crate::caches::CacheBeliefs;
+use crate::caches::CacheIndex;
 use crate::configs::{Config, Repeats};
 use crate::events::{Event, emit};
 use crate::fleets::{Entry, Fleet, FleetView, Upstream};
@@ -46,13 +46,13 @@
 use requests::Exchange;
 use stopping::{STOPPING, Stopping};
 
-pub(crate) use prompts::TOLD_TOKENS;
+pub(crate) use prompts::MIN_PUBLISHED_TOKENS;
 
 /// When a caller is to come back whose request found no time to run.
 const TIMEOUT_PAUSE: Millis = Millis(100);
 
 /// The belief that peers are the source of, as metrics name it.
-pub(crate) const PEER_BELIEF: &str = "peers";
+pub(crate) const PEER_SOURCE: &str = "peers";
 
 /// The most upstreams that one line of the log names.
 const MAX_LOGGED: usize = 16;
@@ -90,7 +90,7 @@
     options: GatewayOptions,
     config: ArcSwapOption<Config>,
     fleet: Fleet,
-    caches: CacheBeliefs,
+    caches: CacheIndex,
     speeds: Speeds,
     budget: Budget,
     in_flight: AtomicU64,
@@ -152,7 +152,7 @@
             options,
             config: ArcSwapOption::empty(),
             fleet: Fleet::new(),
-            caches: CacheBeliefs::new(),
+            caches: CacheIndex::new(),
             suspects: Arc::default(),
             usage,
             in_flight: AtomicU64::new(0),
@@ -180,7 +180,7 @@
     }
 
     /// Returns what the engines' caches are believed to hold.
-    pub fn caches(&self) -> &CacheBeliefs {
+    pub fn caches(&self) -> &CacheIndex {
         &self.inner.caches
     }
 
--- a/crates/anvilhook-gateway/src/relay/plain.rs
+++ b/crates/anvilhook-gateway/src/relay/plain.rs
@@ -163,7 +163,7 @@
             upstream.takes_work(now) && !avoid.contains(&upstream.entry.id) && is_allowed(upstream)
         });
         let able: Vec<_> = able.collect();
-        let well = able.iter().filter(|upstream| upstream.state.is_well(now));
+        let well = able.iter().filter(|upstream| upstream.state.is_healthy(now));
         let well: Vec<_> = well.copied().collect();
         let candidates = if well.is_empty() { able } else { well };
         let cost = |upstream: &Upstream| {
--- a/crates/anvilhook-gateway/src/relay/prompts.rs
+++ b/crates/anvilhook-gateway/src/relay/prompts.rs
@@ -32,7 +32,7 @@
 pub(super) const REFUSED_PAUSE: Millis = Millis(700);
 
 /// The least size of a prompt of whose caching the peers are told.
-pub(crate) const TOLD_TOKENS: u32 = 1_000;
+pub(crate) const MIN_PUBLISHED_TOKENS: u32 = 1_000;
 
 /// `Opened` is what the attempts to open a stream came to.
 pub(super) enum Opened {
@@ -204,7 +204,7 @@
             speed: &speed,
             output_ms: self.inner.speeds.mean_output_ms(&exchange.service),
             zone: &self.inner.options.zone,
-            far_news_ms: if self.peers().are_few() { 0.0 } else { FAR_NEWS_MS },
+            far_news_ms: if self.peers().is_full_mesh() { 0.0 } else { FAR_NEWS_MS },
             now: self.now(),
         })
     }
@@ -220,7 +220,7 @@
     pub fn record_cached(&self, upstream: &Arc<str>, parts: &[Part], engine: &EngineSpec) {
         self.inner.caches.record(upstream, parts, engine.kv_tokens.0);
         let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
-        if tokens >= TOLD_TOKENS {
+        if tokens >= MIN_PUBLISHED_TOKENS {
             let mut cached = self.inner.cached.lock().expect("no panic under this lock");
             cached.push((Arc::clone(upstream), parts.to_vec()));
         }
--- a/crates/anvilhook-gateway/src/relay/reading.rs
+++ b/crates/anvilhook-gateway/src/relay/reading.rs
@@ -16,7 +16,7 @@
 use super::waiting::Wait;
 use crate::fleets::Upstream;
 use crate::loads::Held;
-use crate::peers::GREAT_NEWS_MS;
+use crate::peers::SIGNIFICANT_CHANGE_MS;
 use crate::placements::Reader;
 use crate::speeds::EngineWork;
 use crate::wires::Wire;
@@ -73,7 +73,7 @@
             is_fetched: reader.fetch_from.is_some(),
         };
         let held = Held::with_work(Arc::clone(&upstream), reader.reading_ms, reader.fetching_ms);
-        if reader.reading_ms >= f64::from(GREAT_NEWS_MS) {
+        if reader.reading_ms >= f64::from(SIGNIFICANT_CHANGE_MS) {
             // Prompts that come in the same moment at several instances would otherwise all go to the
             // engine that was idle before, and wait for each other there.
             self.peers().announce();
@@ -98,10 +98,10 @@
         };
         let read = self.finish_reading(exchange, sending).await;
         drop(held);
-        if reader.reading_ms >= f64::from(GREAT_NEWS_MS) {
+        if reader.reading_ms >= f64::from(SIGNIFICANT_CHANGE_MS) {
             // What waits for this engine at other instances would learn only with the next digest
             // that it is free, and the engine would stand idle meanwhile.
-            self.peers().announce_to_few();
+            self.peers().announce_in_full_mesh();
         }
         let took = self.now() - started_at;
         exchange
--- a/crates/anvilhook-gateway/src/relay/waiting.rs
+++ b/crates/anvilhook-gateway/src/relay/waiting.rs
@@ -105,7 +105,7 @@
                 Pace::Hopeless => return Waited::Hopeless,
                 pace => return Waited::Sent(generator, Wait { held: self.now() - began_at, pace }),
             }
-            seeking.get_or_insert_with(|| self.inner.speeds.seek_place(&exchange.service));
+            seeking.get_or_insert_with(|| self.inner.speeds.request_slot(&exchange.service));
             pause(SHORTEST_LOOK_MS).await;
         }
     }
--- a/crates/anvilhook-gateway/src/reloads.rs
+++ b/crates/anvilhook-gateway/src/reloads.rs
@@ -66,7 +66,7 @@
 
     /// Looks whether the options have changed, and has them used. What can't be used changes
     /// nothing: an instance goes on by what it had.
-    pub fn look(&mut self, is_asked: bool) {
+    pub fn check(&mut self, is_asked: bool) {
         match self.source.reread(is_asked) {
             Ok(None) => {}
             Ok(Some(reread)) => {
--- a/crates/anvilhook-gateway/src/roles/mod.rs
+++ b/crates/anvilhook-gateway/src/roles/mod.rs
@@ -14,7 +14,7 @@
 use crate::configs::Config;
 use crate::events::{Event, emit};
 use crate::fleets::Upstream;
-use crate::leases::{Lease, LeaseKeeper};
+use crate::leases::{Lease, LeaseManager};
 use crate::loads::RoleChange;
 use crate::metrics::NameLabel;
 use crate::relay::Gateway;
@@ -57,12 +57,12 @@
     pub lease: Millis,
 }
 
-/// `RoleKeeper` has engines change their roles, under a lease.
-pub struct RoleKeeper<W: Wire, T: Table, C: Clock> {
+/// `RoleController` has engines change their roles, under a lease.
+pub struct RoleController<W: Wire, T: Table, C: Clock> {
     gateway: Gateway<W, C>,
     clock: C,
     options: RoleOptions,
-    lease: LeaseKeeper<T, C>,
+    lease: LeaseManager<T, C>,
     uneven_since: Option<Millis>,
     settling: HashMap<u32, Millis>,
     /// The share of readers that is kept, by service, where it is not the first one.
@@ -71,7 +71,7 @@
     pressures: HashMap<Arc<str>, Pressure>,
 }
 
-impl<W: Wire, T: Table, C: Clock> RoleKeeper<W, T, C> {
+impl<W: Wire, T: Table, C: Clock> RoleController<W, T, C> {
     /// Makes a keeper that holds no lease.
     pub fn new(
         gateway: Gateway<W, C>,
@@ -82,7 +82,7 @@
     ) -> Self {
         Self {
             gateway,
-            lease: LeaseKeeper::new(table, clock.clone(), LEASE_ROW, holder, options.lease),
+            lease: LeaseManager::new(table, clock.clone(), LEASE_ROW, holder, options.lease),
             clock,
             options,
             uneven_since: None,
@@ -105,13 +105,13 @@
             // One instance acts, so that the others need not even read the lease.
             let is_first = self.gateway.peers().is_first(self.clock.now());
             if self.gateway.is_ready() && is_first {
-                self.look().await;
+                self.reconcile().await;
             }
         }
     }
 
     /// Looks at the split once, and gives the orders that are due.
-    pub async fn look(&mut self) {
+    pub async fn reconcile(&mut self) {
         let Some(config) = self.gateway.config() else { return };
         let due = self.due_changes(&config);
         if due.is_empty() {
--- a/crates/anvilhook-gateway/src/speeds.rs
+++ b/crates/anvilhook-gateway/src/speeds.rs
@@ -44,9 +44,9 @@
 
 /// Counts a request that waits for a place of an engine.
 #[derive(Debug)]
-pub struct Seeking(Arc<AtomicU32>);
+pub struct SlotRequest(Arc<AtomicU32>);
 
-impl Drop for Seeking {
+impl Drop for SlotRequest {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
@@ -56,7 +56,7 @@
 ///
 /// A place is counted while it is held: an output that lasts for seconds would otherwise show only at
 /// its end, when the burst that it came with is over.
-pub async fn meter_places<W: Wire, C: Clock>(gateway: Gateway<W, C>, clock: C) {
+pub async fn meter_slots<W: Wire, C: Clock>(gateway: Gateway<W, C>, clock: C) {
     const METER_EVERY: Duration = Duration::from_millis(100);
     let mut last_at = clock.now();
     loop {
@@ -76,7 +76,7 @@
                     share(one.state.own_work().in_flight, one.entry.slots)
                 })
                 .sum();
-            let sought = share(gateway.speeds().seeking(&service.name), slots);
+            let sought = share(gateway.speeds().waiting_for_slot(&service.name), slots);
             if held + sought > 0.0 {
                 let generating_ms = (held + sought) * time_ms;
                 let work = EngineWork { generating_ms, ..EngineWork::default() };
@@ -148,14 +148,14 @@
     }
 
     /// Counts a request in that waits here for a place of an engine, until the guard is dropped.
-    pub fn seek_place(&self, service: &Arc<str>) -> Seeking {
+    pub fn request_slot(&self, service: &Arc<str>) -> SlotRequest {
         let count = self.with(service, |speed| Arc::clone(&speed.seeking));
         count.fetch_add(1, Ordering::AcqRel);
-        Seeking(count)
+        SlotRequest(count)
     }
 
     /// Returns how many requests of a service wait here for a place.
-    pub fn seeking(&self, service: &Arc<str>) -> u32 {
+    pub fn waiting_for_slot(&self, service: &Arc<str>) -> u32 {
         self.with(service, |speed| speed.seeking.load(Ordering::Acquire))
     }
 
@@ -166,7 +166,7 @@
     }
 
     /// Takes in the work that engines did for another instance since it started.
-    pub fn take_in_work(&self, service: &Arc<str>, peer: u64, work: EngineWork, now: Millis) {
+    pub fn merge_work(&self, service: &Arc<str>, peer: u64, work: EngineWork, now: Millis) {
         self.with(service, |speed| {
             // Of one that was not heard before nothing is known of when it came by its work.
             let before = speed.peer_work.insert(peer, work).unwrap_or(work);
--- a/crates/anvilhook-gateway/src/suspects.rs
+++ b/crates/anvilhook-gateway/src/suspects.rs
@@ -30,18 +30,18 @@
 const MAX_STANDING: usize = 4;
 const STANDING_ENDS: usize = 2;
 
-/// `SuspectNews` is what one instance tells another of a request.
+/// `SuspectUpdate` is what one instance tells another of a request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct SuspectNews {
+pub struct SuspectUpdate {
     /// The request.
     pub request: Fingerprint,
     /// What has become of it.
-    pub fate: Fate,
+    pub fate: SuspectEvent,
 }
 
-/// `Fate` is what has become of a request's run.
+/// `SuspectEvent` is what has become of a request's run.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub enum Fate {
+pub enum SuspectEvent {
     /// An engine ended while it ran the request.
     Ended {
         /// The short form of the engine's id and start.
@@ -55,14 +55,14 @@
     Lifted,
 }
 
-impl SuspectNews {
+impl SuspectUpdate {
     fn ended(request: Fingerprint, end: &EngineEnd, now: Millis) -> Self {
         let age_ms = u32::try_from((now - end.at).0).unwrap_or(u32::MAX);
-        Self { request, fate: Fate::Ended { engine: end.engine, age_ms } }
+        Self { request, fate: SuspectEvent::Ended { engine: end.engine, age_ms } }
     }
 
     /// Returns whether another one says the same, whenever it was told.
-    pub(crate) fn is_same(&self, other: &SuspectNews) -> bool {
+    pub(crate) fn is_same(&self, other: &SuspectUpdate) -> bool {
         self.request == other.request
             && self.fate.after(Millis::MAX) == other.fate.after(Millis::MAX)
     }
@@ -73,21 +73,21 @@
     }
 }
 
-impl Fate {
+impl SuspectEvent {
     fn after(self, time: Millis) -> Self {
         match self {
-            Fate::Ended { engine, age_ms } => {
+            SuspectEvent::Ended { engine, age_ms } => {
                 let time_ms = u32::try_from(time.0).unwrap_or(u32::MAX);
-                Fate::Ended { engine, age_ms: age_ms.saturating_add(time_ms) }
+                SuspectEvent::Ended { engine, age_ms: age_ms.saturating_add(time_ms) }
             }
-            fate @ (Fate::RanWell | Fate::Lifted) => fate,
+            fate @ (SuspectEvent::RanWell | SuspectEvent::Lifted) => fate,
         }
     }
 }
 
-/// `Break` is how a run at an engine broke off.
+/// `Interruption` is how a run at an engine broke off.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Break {
+pub enum Interruption {
     /// The connection broke.
     Broken,
     /// Nothing came any more.
@@ -99,7 +99,7 @@
 pub struct Suspects {
     book: Mutex<QuarantineTracker>,
     /// What ran at engines of which it is not known yet whether they have ended.
-    examined: Mutex<HashMap<u32, Vec<(Fingerprint, Break)>>>,
+    examined: Mutex<HashMap<u32, Vec<(Fingerprint, Interruption)>>>,
     /// The suspects that are on trial, each at one engine.
     trials: Mutex<HashSet<Fingerprint>>,
     news: Mutex<VecDeque<Waiting>>,
@@ -110,7 +110,7 @@
 /// `Waiting` is news that is still to be told, first or again.
 #[derive(Debug)]
 struct Waiting {
-    news: SuspectNews,
+    news: SuspectUpdate,
     noted_at: Millis,
     due_at: Millis,
     times_told: usize,
@@ -118,7 +118,7 @@
 
 impl Waiting {
     /// Returns whether it says the same as another one's news, and nobody was told yet.
-    fn is_untold(&self, news: &SuspectNews) -> bool {
+    fn is_untold(&self, news: &SuspectUpdate) -> bool {
         self.times_told == 0 && self.news.is_same(news)
     }
 }
@@ -162,9 +162,9 @@
         let ends = book.ends(request, now);
         let is_new = |engine: &u32| !ends.iter().any(|end| end.engine == *engine);
         let examined = lock(&self.examined);
-        let broken = examined
-            .iter()
-            .filter(|(engine, runs)| is_new(engine) && runs.contains(&(request, Break::Broken)));
+        let broken = examined.iter().filter(|(engine, runs)| {
+            is_new(engine) && runs.contains(&(request, Interruption::Broken))
+        });
         match ends.len() + broken.count() {
             0 => (SuspectStatus::Clear, usize::MAX),
             ends => {
@@ -206,7 +206,12 @@
     }
 
     /// Notes that a run broke off at an engine. Returns whether the engine is not looked at yet.
-    pub fn note_break(&self, engine: u32, request: Fingerprint, how: Break) -> bool {
+    pub fn record_interruption(
+        &self,
+        engine: u32,
+        request: Fingerprint,
+        how: Interruption,
+    ) -> bool {
         self.has_any.store(true, Ordering::Release);
         let mut examined = lock(&self.examined);
         let is_first = !examined.contains_key(&engine);
@@ -221,7 +226,7 @@
     pub(crate) fn has_broken(&self, engine: u32) -> bool {
         let examined = lock(&self.examined);
         let runs = examined.get(&engine);
-        runs.is_some_and(|runs| runs.iter().any(|(_, how)| *how == Break::Broken))
+        runs.is_some_and(|runs| runs.iter().any(|(_, how)| *how == Interruption::Broken))
     }
 
     /// Ends the look at an engine that has not ended.
@@ -244,7 +249,7 @@
             .collect();
         drop(book);
         for (request, _) in weighed.iter().filter(|(_, weighed)| *weighed != EndOutcome::Ignored) {
-            self.tell(SuspectNews::ended(*request, &EngineEnd { engine, at: now }, now), now);
+            self.tell(SuspectUpdate::ended(*request, &EngineEnd { engine, at: now }, now), now);
         }
         weighed
     }
@@ -252,7 +257,7 @@
     /// Notes that a request's run has ended well.
     pub(crate) fn record_success(&self, request: Fingerprint, now: Millis) {
         if lock(&self.book).record_success(request, now) {
-            self.tell(SuspectNews { request, fate: Fate::RanWell }, now);
+            self.tell(SuspectUpdate { request, fate: SuspectEvent::RanWell }, now);
         }
     }
 
@@ -264,35 +269,39 @@
     /// Lifts a quarantine, here and at the others. Returns whether anything spoke against the request.
     pub fn lift(&self, request: Fingerprint, now: Millis) -> bool {
         let is_known = lock(&self.book).lift(request, now);
-        self.tell(SuspectNews { request, fate: Fate::Lifted }, now);
+        self.tell(SuspectUpdate { request, fate: SuspectEvent::Lifted }, now);
         is_known
     }
 
     /// Takes in what another instance tells; `own` is this instance's number. Returns whether the request
     /// is quarantined by it.
-    pub(crate) fn take_in(&self, news: &SuspectNews, own: u64, now: Millis) -> bool {
+    pub(crate) fn apply(&self, news: &SuspectUpdate, own: u64, now: Millis) -> bool {
         let request = news.request;
         let mut book = lock(&self.book);
         match news.fate {
-            Fate::RanWell => {
+            SuspectEvent::RanWell => {
                 book.record_success(request, now);
                 drop(book);
                 lock(&self.news).retain(|waiting| !waiting.is_untold(news));
                 false
             }
-            Fate::Lifted => {
+            SuspectEvent::Lifted => {
                 book.lift(request, now);
                 false
             }
-            Fate::Ended { .. } if book.has_recent_success(request, now) => {
+            SuspectEvent::Ended { .. } if book.has_recent_success(request, now) => {
                 drop(book);
                 // Whoever suspects it has not heard that it runs well. Hundreds may know that it does; the
                 // first to say so spares the others.
                 let delay = Millis(hash_of(&(own, request)) % CLEARANCE_SPREAD.0);
-                self.tell_at(SuspectNews { request, fate: Fate::RanWell }, now, now + delay);
+                self.tell_at(
+                    SuspectUpdate { request, fate: SuspectEvent::RanWell },
+                    now,
+                    now + delay,
+                );
                 false
             }
-            Fate::Ended { engine, age_ms } => {
+            SuspectEvent::Ended { engine, age_ms } => {
                 self.has_any.store(true, Ordering::Release);
                 let end = EngineEnd { engine, at: now - Millis(u64::from(age_ms)) };
                 book.record_end(request, end, now) == EndOutcome::Quarantined
@@ -300,11 +309,11 @@
         }
     }
 
-    fn tell(&self, news: SuspectNews, now: Millis) {
+    fn tell(&self, news: SuspectUpdate, now: Millis) {
         self.tell_at(news, now, now);
     }
 
-    fn tell_at(&self, news: SuspectNews, noted_at: Millis, due_at: Millis) {
+    fn tell_at(&self, news: SuspectUpdate, noted_at: Millis, due_at: Millis) {
         let mut waiting = lock(&self.news);
         if waiting.iter().any(|waiting| waiting.news.is_same(&news)) {
             return;
@@ -316,7 +325,7 @@
     }
 
     /// Takes the news that is to be told now, `most` at the most.
-    pub(crate) fn take_due(&self, most: usize, now: Millis) -> Vec<SuspectNews> {
+    pub(crate) fn take_due(&self, most: usize, now: Millis) -> Vec<SuspectUpdate> {
         let mut waiting = lock(&self.news);
         let mut due = Vec::new();
         for one in waiting.iter_mut().filter(|one| one.due_at <= now).take(most) {
@@ -330,7 +339,7 @@
     }
 
     /// Returns what tells of the requests with the most against them.
-    pub(crate) fn standing_news(&self, now: Millis) -> Vec<SuspectNews> {
+    pub(crate) fn active_updates(&self, now: Millis) -> Vec<SuspectUpdate> {
         let book = lock(&self.book);
         let mut worst: Vec<_> =
             book.suspects(now).filter(|(_, ends)| ends.len() >= STANDING_ENDS).collect();
@@ -340,7 +349,7 @@
     }
 
     /// Returns what tells of all suspected requests, for an instance that has just started.
-    pub(crate) fn all_news(&self, now: Millis) -> Vec<SuspectNews> {
+    pub(crate) fn all_updates(&self, now: Millis) -> Vec<SuspectUpdate> {
         let book = lock(&self.book);
         book.suspects(now).flat_map(|(request, ends)| ended_news(request, ends, now)).collect()
     }
@@ -360,8 +369,8 @@
     }
 }
 
-fn ended_news(request: Fingerprint, ends: &[EngineEnd], now: Millis) -> Vec<SuspectNews> {
-    ends.iter().map(|end| SuspectNews::ended(request, end, now)).collect()
+fn ended_news(request: Fingerprint, ends: &[EngineEnd], now: Millis) -> Vec<SuspectUpdate> {
+    ends.iter().map(|end| SuspectUpdate::ended(request, end, now)).collect()
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/anvilhook-gateway/src/usage.rs
+++ b/crates/anvilhook-gateway/src/usage.rs
@@ -20,9 +20,9 @@
 /// The most names of accounts that are remembered; an account may be gone when its usage is reported.
 const MOST_NAMES: usize = 8_192;
 
-/// `UsageNews` is what one instance tells another of usage.
+/// `UsageUpdate` is what one instance tells another of usage.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
-pub struct UsageNews {
+pub struct UsageUpdate {
     /// The time by the sender's own clock.
     pub time: WallTime,
     /// The last window whose report was accepted, 0 if none is known.
@@ -96,7 +96,7 @@
     }
 
     /// Takes in what another instance, or one that tells for its availability zone, has counted.
-    pub(crate) fn take_in(&self, from: Source, news: &UsageNews, now: Millis) {
+    pub(crate) fn merge(&self, from: Source, news: &UsageUpdate, now: Millis) {
         let Some(windows) = self.windows else { return };
         let mut state = self.state();
         if let Source::Instance { number, .. } = from {
@@ -111,7 +111,7 @@
     }
 
     /// Takes what others are to be told of this instance's own counts, if anything.
-    pub(crate) fn take_news(&self, now: Millis) -> Option<UsageNews> {
+    pub(crate) fn take_update(&self, now: Millis) -> Option<UsageUpdate> {
         let windows = self.windows?;
         let mut state = self.state();
         let ended =
@@ -126,12 +126,12 @@
     }
 
     /// Has all own counts told, to somebody new.
-    pub(crate) fn tell_all_again(&self) {
+    pub(crate) fn resend_all(&self) {
         self.state().book.resend(None);
     }
 
     /// Returns what other availability zones are to be told of an availability zone.
-    pub(crate) fn zone_news(&self, zone: u32, now: Millis) -> Vec<UsageNews> {
+    pub(crate) fn zone_updates(&self, zone: u32, now: Millis) -> Vec<UsageUpdate> {
         if self.windows.is_none() {
             return Vec::new();
         }
@@ -167,8 +167,8 @@
 }
 
 impl State {
-    fn news(&self, windows: Vec<WindowCounts>, now: Millis) -> UsageNews {
-        UsageNews { time: self.clocks.own_time(now), reported: self.reported, windows }
+    fn news(&self, windows: Vec<WindowCounts>, now: Millis) -> UsageUpdate {
+        UsageUpdate { time: self.clocks.own_time(now), reported: self.reported, windows }
     }
 }
 
--- a/crates/anvilhook-gateway/tests/decisions.rs
+++ b/crates/anvilhook-gateway/tests/decisions.rs
@@ -8,12 +8,13 @@
 use anvilhook_core::orders::Role;
 use anvilhook_core::units::{ManualClock, Millis, Tokens};
 use anvilhook_gateway::budgets::{Budget, BudgetOptions};
-use anvilhook_gateway::caches::CacheBeliefs;
+use anvilhook_gateway::caches::CacheIndex;
 use anvilhook_gateway::configs::{Config, EngineSpec, Repeats, Route, Target};
 use anvilhook_gateway::fleets::{Entry, Fleet};
 use anvilhook_gateway::loads::{Held, PeerLoad, Work};
 use anvilhook_gateway::peers::{
-    CachedPrompt, Digest, EngineLoad, FollowedTable, Notice, NoticeKind, Scope, ToldWatch, ToldWork,
+    CachedPrompt, Digest, EngineLoad, FollowedTable, Notice, NoticeKind, Scope, ServiceWork,
+    WatchState,
 };
 use anvilhook_gateway::placements::{Placer, Plan, Request};
 use anvilhook_gateway::prompts::{Part, Prompt};
@@ -152,7 +153,7 @@
 /// Cause: their sum overflowed under the lock of all beliefs about caches, where overflow is checked.
 #[test]
 fn verify_parts_of_any_length_are_summed() {
-    let caches = CacheBeliefs::new();
+    let caches = CacheIndex::new();
     caches.record(&Arc::from("e"), &prompt(10_000, 2).parts, 20_000);
     let mut wild = prompt(10_000, 2);
     wild.parts.iter_mut().for_each(|part| part.tokens = u32::MAX);
@@ -168,7 +169,7 @@
 /// Cause: parts were forgotten by the room that they take, and these take none.
 #[test]
 fn verify_parts_without_a_length_take_no_room() {
-    let caches = CacheBeliefs::new();
+    let caches = CacheIndex::new();
     let engine: Arc<str> = Arc::from("e");
     let part = |id, tokens| Part { id, tokens };
     for id in 0..1_000 {
@@ -185,7 +186,7 @@
 
 #[test]
 fn verify_caches_forget_what_was_used_longest_ago() {
-    let caches = CacheBeliefs::new();
+    let caches = CacheIndex::new();
     let engine: Arc<str> = Arc::from("e");
     caches.record(&engine, &prompt(10_000, 2).parts, 20_000);
     assert_eq!(caches.held_tokens("e", &prompt(10_000, 3)), 10_000);
@@ -219,14 +220,14 @@
     fleet
 }
 
-fn plan(fleet: &Fleet, caches: &CacheBeliefs, prompt: &Prompt, avoid: &[Arc<str>]) -> Option<Plan> {
+fn plan(fleet: &Fleet, caches: &CacheIndex, prompt: &Prompt, avoid: &[Arc<str>]) -> Option<Plan> {
     plan_by(0.0, fleet, caches, prompt, avoid)
 }
 
 fn plan_by(
     far_news_ms: f64,
     fleet: &Fleet,
-    caches: &CacheBeliefs,
+    caches: &CacheIndex,
     prompt: &Prompt,
     avoid: &[Arc<str>],
 ) -> Option<Plan> {
@@ -276,7 +277,7 @@
 /// Cause: the busier the own zone, the less an old word of idleness in another is worth.
 #[test]
 fn verify_old_news_of_an_idle_engine_are_doubted_where_all_are_busy() {
-    let (fleet, caches) = (fleet(&SITE), CacheBeliefs::new());
+    let (fleet, caches) = (fleet(&SITE), CacheIndex::new());
     let long = prompt(3_000, 1);
     let hold =
         |id: &str, ms| Held::with_work(Arc::clone(fleet.view().get(id).expect("listed")), ms, 0.0);
@@ -303,7 +304,7 @@
         ("near", Role::Decode, "zone-a"),
         ("far", Role::Decode, "zone-b"),
     ]);
-    let (view, caches, speed) = (fleet.view(), CacheBeliefs::new(), EXPECTED_READING);
+    let (view, caches, speed) = (fleet.view(), CacheIndex::new(), EXPECTED_READING);
     let hold = |id: &str, count: usize| -> Vec<Held> {
         let upstream = view.get(id).expect("listed");
         (0..count).map(|_| Held::new(Arc::clone(upstream))).collect()
@@ -345,7 +346,7 @@
         ("d2", Role::Decode, "zone-a"),
         ("d3", Role::Decode, "zone-b"),
     ]);
-    let (view, caches, speed) = (fleet.view(), CacheBeliefs::new(), EXPECTED_READING);
+    let (view, caches, speed) = (fleet.view(), CacheIndex::new(), EXPECTED_READING);
     let full = view.get("full").expect("listed");
     let _held: Vec<_> = (0..20).map(|_| Held::new(Arc::clone(full))).collect();
     let (engine, prompt) = (engine_spec(), prompt(300, 1));
@@ -376,7 +377,7 @@
 
 #[test]
 fn verify_a_prompt_goes_where_it_is_cached_unless_that_engine_is_busy() {
-    let (fleet, caches) = (fleet(&SITE), CacheBeliefs::new());
+    let (fleet, caches) = (fleet(&SITE), CacheIndex::new());
     let long = prompt(13_300, 2);
     caches.record(&Arc::from("p2"), &long.parts[..1], 385_000);
     assert_eq!(reader_of(plan(&fleet, &caches, &long, &[])), "p2");
@@ -392,7 +393,7 @@
 
 #[test]
 fn verify_a_prompt_that_nobody_holds_has_one_home() {
-    let (fleet, caches) = (fleet(&SITE[..2]), CacheBeliefs::new());
+    let (fleet, caches) = (fleet(&SITE[..2]), CacheIndex::new());
     let homes: Vec<_> = (0..5)
         .map(|own| reader_of(plan(&fleet, &caches, &prompt(13_300, own + 10), &[])))
         .collect();
@@ -405,7 +406,7 @@
 /// Cause: such an engine is asked for the whole request, never for one stage.
 #[test]
 fn verify_engines_of_both_stages_serve_requests_whole() {
-    let caches = CacheBeliefs::new();
+    let caches = CacheIndex::new();
     let long = prompt(13_300, 2);
     caches.record(&Arc::from("m2"), &long.parts[..1], 385_000);
     let engines = [("m1", Role::Mixed, "zone-a"), ("m2", Role::Mixed, "zone-a")];
@@ -418,7 +419,7 @@
 /// Cause: a generator can read, too; and ejection must not empty a stage.
 #[test]
 fn verify_placement_with_engines_missing() {
-    let caches = CacheBeliefs::new();
+    let caches = CacheIndex::new();
     let long = prompt(13_300, 2);
     let cases: [(&[Listed], &[&str], &str); 4] = [
         (&SITE[3..], &[], "direct d1"),
@@ -525,10 +526,10 @@
             Notice { engine: 8, kind: NoticeKind::Changing { role: Role::Decode, left_ms: 9_000 } },
         ],
         suspects: Vec::new(),
-        work: vec![ToldWork { service: 7, reading_ms: 70_000, generating_ms: 9_000 }],
+        work: vec![ServiceWork { service: 7, reading_ms: 70_000, generating_ms: 9_000 }],
         zone: u32::MAX,
         usage: None,
-        watches: [ToldWatch { newest: 700, is_unable: true, away_ms: Some(2_000) }; 2],
+        watches: [WatchState { newest: 700, is_unable: true, away_ms: Some(2_000) }; 2],
         rows: None,
         asks: Some((FollowedTable::Entries, 700)),
     };
--- a/crates/anvilhook-gateway/tests/duties.rs
+++ b/crates/anvilhook-gateway/tests/duties.rs
@@ -11,7 +11,7 @@
 use anvilhook_core::usage::{Source, Windows};
 use anvilhook_gateway::clouds::{CloudAnswer, FleetOrder};
 use anvilhook_gateway::configs::{Config, Repeats, ServiceSpec};
-use anvilhook_gateway::duties::{DutyKeeper, DutyOptions};
+use anvilhook_gateway::duties::{DutyOptions, DutyRunner};
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::relay::Gateway;
 use support::clouds::MemoryCloud;
@@ -25,7 +25,7 @@
 const LEASE: Millis = Millis(3_000);
 const OWN: Source = Source::Instance { zone: 1, number: 1 };
 
-type TestKeeper = DutyKeeper<TestWire, MemoryTable, ManualClock, MemoryCloud>;
+type TestKeeper = DutyRunner<TestWire, MemoryTable, ManualClock, MemoryCloud>;
 
 /// `Site` is instances before one table and one API, on one clock.
 struct Site {
@@ -67,7 +67,7 @@
         };
         let (table, clock, cloud) = (self.table.clone(), self.clock.clone(), self.cloud.clone());
         let keeper =
-            DutyKeeper::new(gateway.clone(), table, clock, cloud, name.to_owned(), options);
+            DutyRunner::new(gateway.clone(), table, clock, cloud, name.to_owned(), options);
         TestInstance { gateway, keeper }
     }
 
@@ -92,7 +92,7 @@
     /// Looks for long enough that a lease which has lapsed is taken.
     async fn look_on(&mut self, clock: &ManualClock) {
         for _ in 0..20 {
-            self.keeper.look().await;
+            self.keeper.run_once().await;
             clock.advance(Millis(250));
         }
     }
@@ -111,11 +111,11 @@
     one.count(3, &site.clock);
 
     let window = site.enter_next_window(&one, Millis(1_000));
-    one.keeper.look().await;
+    one.keeper.run_once().await;
     assert!(site.cloud.reports().iter().all(|called| called.report.window < window));
     site.clock.advance(Millis(2_000));
-    one.keeper.look().await;
-    one.keeper.look().await;
+    one.keeper.run_once().await;
+    one.keeper.run_once().await;
 
     let reports = site.cloud.reports();
     let of_window: Vec<_> = reports.iter().filter(|one| one.report.window == window).collect();
@@ -134,7 +134,7 @@
     let window = site.enter_next_window(&one, Millis(3_000));
 
     site.cloud.answer(&[CloudAnswer::Busy, CloudAnswer::NoAnswer]);
-    one.keeper.look().await;
+    one.keeper.run_once().await;
     one.gateway.usage().count(OWN, &kitchen(), began_at);
     one.look_on(&site.clock).await;
 
@@ -156,7 +156,7 @@
     let window = site.enter_next_window(&one, Millis(2_500));
 
     site.cloud.answer(&[CloudAnswer::NoAnswer]);
-    one.keeper.look().await;
+    one.keeper.run_once().await;
     two.look_on(&site.clock).await;
 
     let reports = site.cloud.reports();
@@ -173,12 +173,12 @@
     let site = site();
     let (mut one, mut two) = (site.instance("one"), site.instance("two"));
     site.enter_next_window(&one, Millis(2_500));
-    one.keeper.look().await;
+    one.keeper.run_once().await;
     let before = site.cloud.reports().len();
 
-    two.keeper.look().await;
+    two.keeper.run_once().await;
     site.clock.advance(LEASE);
-    two.keeper.look().await;
+    two.keeper.run_once().await;
 
     assert_eq!((before, site.cloud.reports().len()), (1, 1));
 }
@@ -189,16 +189,16 @@
     let site = site();
     let (mut one, mut two) = (site.instance("one"), site.instance("two"));
     site.enter_next_window(&one, Millis(2_500));
-    one.keeper.look().await;
-    two.keeper.look().await;
+    one.keeper.run_once().await;
+    two.keeper.run_once().await;
     site.enter_next_window(&one, Millis(2_500));
-    two.keeper.look().await;
+    two.keeper.run_once().await;
     assert_eq!(site.cloud.reports().last().map(|called| &*called.holder), Some("two"));
 
     site.enter_next_window(&one, Millis(2_500));
-    two.keeper.look().await;
+    two.keeper.run_once().await;
     let calls = site.cloud.reports().len();
-    one.keeper.look().await;
+    one.keeper.run_once().await;
 
     assert_eq!(site.cloud.reports().len(), calls);
 }
@@ -211,7 +211,7 @@
     let mut one = site.instance("one");
     for _ in 0..3 {
         site.enter_next_window(&one, Millis(2_500));
-        one.keeper.look().await;
+        one.keeper.run_once().await;
     }
 
     let tokens: Vec<_> = site.cloud.reports().iter().map(|called| called.token).collect();
@@ -227,9 +227,9 @@
     site.enter_next_window(&one, Millis(2_500));
     site.cloud.answer(&[CloudAnswer::Conflict]);
 
-    one.keeper.look().await;
+    one.keeper.run_once().await;
     site.clock.advance(LEASE);
-    one.keeper.look().await;
+    one.keeper.run_once().await;
 
     assert_eq!(site.cloud.reports().len(), 1);
 }
@@ -242,7 +242,7 @@
         let mut one = site.instance("one");
         site.enter_next_window(&one, Millis(2_500));
         site.table.set_fault(fault);
-        one.keeper.look().await;
+        one.keeper.run_once().await;
         assert_eq!(site.cloud.reports(), [], "{fault:?}");
 
         site.table.set_fault(Fault::None);
@@ -257,7 +257,7 @@
     let site = site();
     let mut one = site.instance("one");
     site.enter_next_window(&one, Millis(2_500));
-    one.keeper.look().await;
+    one.keeper.run_once().await;
     let missed = site.enter_next_window(&one, Millis(100));
     site.clock.advance(WINDOW * 3);
 
@@ -328,7 +328,7 @@
         };
         let (table, clock, cloud) = (self.table.clone(), self.clock.clone(), self.cloud.clone());
         let keeper =
-            DutyKeeper::new(gateway.clone(), table, clock, cloud, name.to_owned(), options);
+            DutyRunner::new(gateway.clone(), table, clock, cloud, name.to_owned(), options);
         TestInstance { gateway, keeper }
     }
 }
--- a/crates/anvilhook-gateway/tests/followers.rs
+++ b/crates/anvilhook-gateway/tests/followers.rs
@@ -7,7 +7,7 @@
 
 use anvilhook_core::units::{Clock, Millis, SystemClock};
 use anvilhook_gateway::configs::Repeats;
-use anvilhook_gateway::entries::EntryBook;
+use anvilhook_gateway::entries::EntryRegistry;
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::followers::{ConfigFollower, EntryFollower, Follow, follow};
 use anvilhook_gateway::peers::{FollowedTable, TableVersion};
@@ -25,7 +25,7 @@
     Entry { draining, sequence, ..entry(id, 1) }
 }
 
-fn ids(book: &EntryBook) -> Vec<String> {
+fn ids(book: &EntryRegistry) -> Vec<String> {
     let mut ids: Vec<_> = book.entries().map(|entry| entry.id.to_string()).collect();
     ids.sort();
     ids
@@ -36,8 +36,8 @@
 /// Cause: the reports' numbers, not their arrival, give their order.
 #[test]
 fn verify_an_old_report_changes_nothing() {
-    let draining = |book: &EntryBook| book.entries().any(|entry| entry.draining);
-    let mut book = EntryBook::new();
+    let draining = |book: &EntryRegistry| book.entries().any(|entry| entry.draining);
+    let mut book = EntryRegistry::new();
     book.put(report("a", false, 1));
     book.put(report("a", true, 3));
 
@@ -57,7 +57,7 @@
 /// Cause: entries are given time to be back. One that is leaving, or still missing then, is gone.
 #[test]
 fn verify_lapsed_entries_have_time_to_be_back() {
-    let mut book = EntryBook::new();
+    let mut book = EntryRegistry::new();
     for id in ["back", "late", "gone"] {
         book.put(report(id, false, 1));
     }
@@ -84,7 +84,7 @@
     // When the last failed call was sent, when the return was noticed, and when the grace is over.
     let cases = [(26_474, 27_598, 29_174), (9_990, 10_000, 12_200), (8_000, 10_000, 10_700)];
     for (last_away, noticed, expected) in cases {
-        let mut book = EntryBook::new();
+        let mut book = EntryRegistry::new();
         book.put(report("left", false, 1));
         book.regained(Millis(noticed));
         book.bound_grace(Millis(last_away));
@@ -123,7 +123,7 @@
     ];
     for (entries, born, draining) in cases {
         for is_removed_between in [false, true] {
-            let mut book = EntryBook::new();
+            let mut book = EntryRegistry::new();
             for (at, entry) in entries.iter().enumerate() {
                 if is_removed_between && at > 0 && entry.born > entries[at - 1].born {
                     assert!(book.remove("a", Millis(10)));
@@ -145,7 +145,7 @@
 /// Cause: a row that can't be read names no upstream, and says nothing of the upstream's own reports.
 #[test]
 fn verify_an_overwritten_row_names_nobody_until_the_upstream_reports_again() {
-    let mut book = EntryBook::new();
+    let mut book = EntryRegistry::new();
     book.put(report("a", false, 4));
     book.put(report("b", false, 4));
 
@@ -368,7 +368,7 @@
     table.set_fault(Fault::Silent);
     table.put("upstreams", "a", Some("leaving 2"));
 
-    gateway.peers().version_of(FollowedTable::Entries).record_told(table.version());
+    gateway.peers().version_of(FollowedTable::Entries).record_announced(table.version());
 
     until(|| !gateway.fleet().takes_work("a", Millis::ZERO)).await;
     assert_eq!(table.calls().0.last(), Some(&Millis::ZERO), "no further call that may go silent");
@@ -381,16 +381,16 @@
 async fn verify_a_version_that_nobody_can_read_is_asked_for_once() {
     let version = TableVersion::default();
     version.record_own(5);
-    version.record_told(9);
+    version.record_announced(9);
 
-    version.told_newer_than(5).await;
-    version.record_asked(version.told());
+    version.wait_for_newer(5).await;
+    version.record_queried(version.announced());
 
-    assert!(version.told_newer_than(5).now_or_never().is_none());
-    version.record_told(8);
-    assert!(version.told_newer_than(5).now_or_never().is_none(), "an older one");
-    version.record_told(10);
-    assert!(version.told_newer_than(5).now_or_never().is_some());
+    assert!(version.wait_for_newer(5).now_or_never().is_none());
+    version.record_announced(8);
+    assert!(version.wait_for_newer(5).now_or_never().is_none(), "an older one");
+    version.record_announced(10);
+    assert!(version.wait_for_newer(5).now_or_never().is_some());
 }
 
 /// Symptom: an upstream that has left gets work for seconds beyond its notice, until some other entry
--- a/crates/anvilhook-gateway/tests/gathering.rs
+++ b/crates/anvilhook-gateway/tests/gathering.rs
@@ -1,7 +1,7 @@
 //! What is told on of engines' readings, and when.
 
 use anvilhook_core::units::Millis;
-use anvilhook_gateway::peers::{CacheNews, CachedPrompt};
+use anvilhook_gateway::peers::{CacheUpdates, CachedPrompt};
 
 const NOW: Millis = Millis(5_000);
 
@@ -18,7 +18,7 @@
 /// Cause: the tokens beside that part displace others, and must be told of as well, if later.
 #[test]
 fn verify_no_tokens_are_lost_where_a_part_is_not_told_again() {
-    let mut news = CacheNews::default();
+    let mut news = CacheUpdates::default();
     news.add(&prompt(1, 7, 300));
     assert_eq!(news.take(4, NOW), [[prompt(1, 7, 300)]]);
 
@@ -36,7 +36,7 @@
 /// Cause: whoever tells must tell again once in a while, also since datagrams are lost.
 #[test]
 fn verify_a_part_is_told_again_after_a_while() {
-    let mut news = CacheNews::default();
+    let mut news = CacheUpdates::default();
     news.add(&prompt(1, 7, 0));
     news.take(4, NOW);
     news.add(&prompt(1, 7, 0));
@@ -52,7 +52,7 @@
 /// Cause: what does not fit must wait for the next digests, and all of it must be told in the end.
 #[test]
 fn verify_much_news_is_told_in_small_digests() {
-    let mut news = CacheNews::default();
+    let mut news = CacheUpdates::default();
     let parts = (0..500).map(|part| (u64::MAX - part, 5_000)).collect();
     news.add(&CachedPrompt { engine: u32::MAX, parts, own_tokens: u32::MAX });
     (0..600).for_each(|engine| news.add(&prompt(u32::MAX - 1 - engine, u64::MAX, u32::MAX)));
--- a/crates/anvilhook-gateway/tests/metrics.rs
+++ b/crates/anvilhook-gateway/tests/metrics.rs
@@ -40,7 +40,7 @@
     for line in lines {
         assert!(text.contains(&format!("anvilhook_gateway_{line}\n")), "{line} in {text}");
     }
-    assert_eq!(gateway.metrics().belief_age("config", Millis::ZERO), None);
+    assert_eq!(gateway.metrics().source_age("config", Millis::ZERO), None);
 }
 
 /// Symptom: the price of the calls to the table is seen, and nobody can tell what they are for.
--- a/crates/anvilhook-gateway/tests/peers.rs
+++ b/crates/anvilhook-gateway/tests/peers.rs
@@ -15,14 +15,14 @@
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::loads::{Held, RoleObservation};
 use anvilhook_gateway::peers::{
-    Assembler, CachedPrompt, Digest, EngineLoad, FollowedTable, Notice, NoticeKind, Peers, Scope,
-    ToldRows, ToldWork, exchange, pieces_of, register, seed_caches,
+    Assembler, CachedPrompt, Digest, EngineLoad, FollowedTable, Notice, NoticeKind, Peers,
+    RowChanges, Scope, ServiceWork, exchange, pieces_of, register, seed_caches,
 };
 use anvilhook_gateway::prompts::{Part, Prompt};
 use anvilhook_gateway::relay::Gateway;
 use anvilhook_gateway::speeds::EngineWork;
 use anvilhook_gateway::tables::Row;
-use anvilhook_gateway::usage::UsageNews;
+use anvilhook_gateway::usage::UsageUpdate;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::clocks::TimerClock;
@@ -120,7 +120,7 @@
     drop(held);
 
     until(|| seen_by_two().in_flight == 0).await;
-    assert_eq!(two.gateway.peers().heard(Millis::ZERO), 1);
+    assert_eq!(two.gateway.peers().live_peers(Millis::ZERO), 1);
 }
 
 /// Symptom: a new instance has every shared part read again that it meets.
@@ -245,7 +245,7 @@
     let found = engine_of(&one);
 
     found.state.mark_closed(now(&one) + Millis(60_000), true);
-    until(|| !engine_of(&two).state.is_well(now(&two))).await;
+    until(|| !engine_of(&two).state.is_healthy(now(&two))).await;
     let shown = RoleObservation { role: Role::Decode, sequence: 1, is_own: true };
     found.state.observe_role(shown);
     until(|| engine_of(&two).role() == Some(Role::Decode)).await;
@@ -254,7 +254,7 @@
 
     let told_on = engine_of(&two);
     assert_eq!(told_on.state.own_closed_until(), Millis::ZERO);
-    assert!(!told_on.state.is_gone_by_own());
+    assert!(!told_on.state.is_observed_gone());
     assert!(told_on.state.observed_role(1).is_some_and(|shown| !shown.is_own));
 }
 
@@ -271,11 +271,11 @@
     let engines = ["e0", "e1", "e2", "e3"];
     let engines = engines.map(|id| Entry { role: Some(Role::Decode), ..entry(id, 1) });
     all.iter().for_each(|one| one.gateway.adopt_entries(engines.clone()));
-    until(|| all.iter().all(|one| one.gateway.peers().heard(Millis::ZERO) == 3)).await;
+    until(|| all.iter().all(|one| one.gateway.peers().live_peers(Millis::ZERO) == 3)).await;
     let engine =
         |one: &Instance, id: &str| Arc::clone(one.gateway.fleet().view().get(id).expect("listed"));
-    let is_well = |one: &Instance, id: &str| {
-        engine(one, id).state.is_well(anvilhook_core::units::Clock::now(&one.clock))
+    let is_healthy = |one: &Instance, id: &str| {
+        engine(one, id).state.is_healthy(anvilhook_core::units::Clock::now(&one.clock))
     };
     let get_error = |one: &Instance, number, id: &str| {
         one.gateway.note_error(&engine(one, id), number, true);
@@ -285,8 +285,8 @@
     (0..3).for_each(|at| get_error(&all[at], at as u64 + 1, "e0"));
     get_error(&all[0], 1, "e1");
 
-    until(|| all.iter().all(|one| !is_well(one, "e0"))).await;
-    assert!(all.iter().all(|one| is_well(one, "e1")));
+    until(|| all.iter().all(|one| !is_healthy(one, "e0"))).await;
+    assert!(all.iter().all(|one| is_healthy(one, "e1")));
 }
 
 /// Symptom: after the loss of all instances, prompts are taken for cold and refused as overload.
@@ -297,8 +297,8 @@
     let engine = Upstream::always(vec![signed("200 OK", "77")]).await;
     let one = instance(1, engine.address.port(), &[]).await;
     let two = instance(2, engine.address.port(), &[one.address]).await;
-    until(|| one.gateway.peers().heard(Millis::ZERO) == 1).await;
-    until(|| two.gateway.peers().heard(Millis::ZERO) == 1).await;
+    until(|| one.gateway.peers().live_peers(Millis::ZERO) == 1).await;
+    until(|| two.gateway.peers().live_peers(Millis::ZERO) == 1).await;
 
     tokio::join!(one.seed(), two.seed());
 
@@ -398,13 +398,13 @@
     let load = EngineLoad { engine, in_flight: 3, reading_ms: 40, fetching_ms: 5 };
     let cached = CachedPrompt { engine, parts: vec![(7, 5_000)], own_tokens: 300 };
     let notice = Notice { engine, kind: NoticeKind::Away { left_ms: 300 } };
-    let work = ToldWork { service: 9, reading_ms: 70, generating_ms: 90 };
+    let work = ServiceWork { service: 9, reading_ms: 70, generating_ms: 90 };
     let row = Row { key: "a".to_owned(), value: Some("ready 1".into()), version: 5 };
     let counts = vec![(AccountCode(7), 40)];
     let windows = vec![WindowCounts { window: 350_000_000, counts }];
-    let usage = UsageNews { time: WallTime(1_790_000_000_000), reported: 349_999_999, windows };
+    let usage = UsageUpdate { time: WallTime(1_790_000_000_000), reported: 349_999_999, windows };
     let span = Span { after: 4, to: 5 };
-    let rows = pieces_of(FollowedTable::Entries, &ToldRows { span, rows: vec![row] });
+    let rows = pieces_of(FollowedTable::Entries, &RowChanges { span, rows: vec![row] });
     let digests = [
         Digest { from: 9, loads: vec![load], work: vec![work], ..Digest::default() },
         Digest { from: 9, cached: vec![cached], is_partial: true, ..Digest::default() },
@@ -449,7 +449,7 @@
 
     let other = instance(2, 1, &[one.address]).await;
     other.gateway.caches().record(&Arc::from("e0"), &[SHARED], 100_000);
-    until(|| other.gateway.peers().heard(Millis::ZERO) > 0).await;
+    until(|| other.gateway.peers().live_peers(Millis::ZERO) > 0).await;
     let told = "anvilhook_gateway_unreadable_total{name=\"peers\"}";
     assert!(one.gateway.metrics_text().contains(told), "what can't be read is counted");
     assert_eq!(one.gateway.fleet().view().all().count(), 1);
@@ -470,7 +470,7 @@
         // Two rows of each transaction.
         version: 100 + at / 2,
     };
-    let told = ToldRows { span: Span { after: 99, to: 400 }, rows: (0..300).map(row).collect() };
+    let told = RowChanges { span: Span { after: 99, to: 400 }, rows: (0..300).map(row).collect() };
 
     let pieces = pieces_of(FollowedTable::Entries, &told);
 
@@ -487,6 +487,6 @@
     }
     assert_eq!((known, &heard), (400, &told.rows));
 
-    let many = ToldRows { rows: (0..5_000).map(row).collect(), ..told };
+    let many = RowChanges { rows: (0..5_000).map(row).collect(), ..told };
     assert!(pieces_of(FollowedTable::Entries, &many).is_empty(), "as many would fill the links");
 }
--- a/crates/anvilhook-gateway/tests/roles.rs
+++ b/crates/anvilhook-gateway/tests/roles.rs
@@ -10,7 +10,7 @@
 use anvilhook_gateway::configs::Repeats;
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::relay::Gateway;
-use anvilhook_gateway::roles::{RoleKeeper, RoleOptions};
+use anvilhook_gateway::roles::{RoleController, RoleOptions};
 use support::fronts::{ample_budget, config, gateway};
 use support::tables::{Fault, MemoryTable};
 use support::upstreams::{Received, Step, Upstream, signed};
@@ -71,12 +71,12 @@
 }
 
 impl Site {
-    fn keeper(&self, holder: &str) -> RoleKeeper<TestWire, MemoryTable, ManualClock> {
+    fn keeper(&self, holder: &str) -> RoleController<TestWire, MemoryTable, ManualClock> {
         let options =
             RoleOptions { prefill_share: 0.5, patience: Millis::ZERO, lease: Millis(3_000) };
         let (gateway, table) = (self.gateway.clone(), self.table.clone());
         let holder = holder.to_owned();
-        RoleKeeper::new(gateway, table, self.clock.clone(), holder, options)
+        RoleController::new(gateway, table, self.clock.clone(), holder, options)
     }
 }
 
@@ -89,8 +89,8 @@
     let site = site(&engines);
     let mut keeper = site.keeper("one");
 
-    keeper.look().await;
-    keeper.look().await;
+    keeper.reconcile().await;
+    keeper.reconcile().await;
 
     assert_eq!(engines.orders(), ["Prefill 1 Some(4)", "Prefill 1 Some(4)"]);
     assert_eq!(site.table.value("anvilhook_leases", "roles").as_deref(), Some("one"));
@@ -104,7 +104,7 @@
     let engines = engines_of(Role::Prefill, 4, "200 OK").await;
     let site = site(&engines);
 
-    site.keeper("one").look().await;
+    site.keeper("one").reconcile().await;
 
     assert_eq!(engines.orders(), ["Decode 1 Some(4)", "Decode 1 Some(4)"]);
 }
@@ -130,7 +130,7 @@
     let site = site(&engines);
     let mut keeper = site.keeper("one");
 
-    keeper.look().await;
+    keeper.reconcile().await;
 
     assert!(has_order.load(Ordering::SeqCst), "it is the one that is ordered");
     let engine = || Arc::clone(site.gateway.fleet().view().get("e1").expect("listed"));
@@ -168,7 +168,7 @@
     gateway.set(site.gateway.clone()).ok().expect("it is set once");
     assert!(site.gateway.fleet().takes_work("e1", Millis::ZERO));
 
-    site.keeper("one").look().await;
+    site.keeper("one").reconcile().await;
 
     assert_eq!(*took_work.lock().expect("no panic"), [false]);
 }
@@ -186,18 +186,18 @@
     even[0].role = Some(Role::Prefill);
 
     for _ in 0..2 {
-        keeper.look().await;
+        keeper.reconcile().await;
         site.clock.advance(Millis(900));
         site.gateway.adopt_entries(even.clone());
-        keeper.look().await;
+        keeper.reconcile().await;
         site.clock.advance(Millis(900));
         site.gateway.adopt_entries(engines.entries.clone());
     }
     assert!(engines.orders().is_empty());
 
-    keeper.look().await;
+    keeper.reconcile().await;
     site.clock.advance(Millis(1_000));
-    keeper.look().await;
+    keeper.reconcile().await;
     assert_eq!(engines.orders().len(), 1);
 }
 
@@ -210,17 +210,17 @@
     let site = site(&engines);
     let (mut one, mut two) = (site.keeper("one"), site.keeper("two"));
 
-    one.look().await;
+    one.reconcile().await;
     let by_first = engines.orders().len();
-    two.look().await;
+    two.reconcile().await;
     assert_eq!((by_first, engines.orders().len()), (2, 2));
 
     // Lease and guard have passed since the second saw the row.
     site.clock.advance(Millis(3_500));
-    two.look().await;
+    two.reconcile().await;
     assert_eq!(engines.orders().len(), 2, "the guard has not passed");
     site.clock.advance(Millis(200));
-    two.look().await;
+    two.reconcile().await;
 
     let orders = engines.orders();
     assert_eq!(orders.len(), 4);
@@ -239,10 +239,10 @@
         let mut keeper = site.keeper("one");
         site.table.set_fault(fault);
 
-        keeper.look().await;
+        keeper.reconcile().await;
         site.table.set_fault(Fault::None);
         if fault == Fault::AnswersLost {
-            keeper.look().await;
+            keeper.reconcile().await;
         }
 
         assert!(engines.orders().is_empty(), "{fault:?}");
@@ -261,7 +261,7 @@
         let mut keeper = site.keeper("one");
 
         for _ in 0..3 {
-            keeper.look().await;
+            keeper.reconcile().await;
         }
 
         assert_eq!(engines.orders().len(), 1, "{status}");
@@ -290,7 +290,7 @@
     let gateway = gateway(clock.clone(), config, entries.to_vec(), ample_budget());
     let site = Site { gateway, table: MemoryTable::default(), clock };
 
-    site.keeper("one").look().await;
+    site.keeper("one").reconcile().await;
 
     let lines: Vec<_> = upstream.received().into_iter().map(|one| one.line).collect();
     assert_eq!(lines, ["GET /report HTTP/1.1"]);
--- a/crates/anvilhook-gateway/tests/streams.rs
+++ b/crates/anvilhook-gateway/tests/streams.rs
@@ -419,7 +419,7 @@
         let answer = front.post("r1", PROMPT, "").await;
 
         assert_eq!((answer.status, answer.events()), (200, vec![1, 2]), "{role:?}: {answer:?}");
-        assert!(!state.is_well(SystemClock::new().now()), "{role:?}: it is left alone");
+        assert!(!state.is_healthy(SystemClock::new().now()), "{role:?}: it is left alone");
     }
 }
 
--- a/crates/anvilhook-gateway/tests/suspects.rs
+++ b/crates/anvilhook-gateway/tests/suspects.rs
@@ -13,7 +13,7 @@
 use anvilhook_gateway::controls;
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::peers::{Digest, exchange};
-use anvilhook_gateway::suspects::{Break, Fate, SuspectNews};
+use anvilhook_gateway::suspects::{Interruption, SuspectEvent, SuspectUpdate};
 use http::Method;
 use http_body_util::BodyExt;
 use rand::SeedableRng;
@@ -149,7 +149,7 @@
     let (suspects, bodies) = (front.gateway.suspects(), ["one", "other"]);
     for engine in [901, 902] {
         for body in bodies {
-            suspects.note_break(engine, fingerprint(body), Break::Broken);
+            suspects.record_interruption(engine, fingerprint(body), Interruption::Broken);
         }
         suspects.confirm_end(engine, Millis::ZERO);
     }
@@ -331,7 +331,7 @@
     let address = link(&one, clock, 5, &[other.local_addr().expect("an address")]).await;
     let request = fingerprint(POISON);
     let tell = async |engine, age_ms| {
-        let news = SuspectNews { request, fate: Fate::Ended { engine, age_ms } };
+        let news = SuspectUpdate { request, fate: SuspectEvent::Ended { engine, age_ms } };
         let digest =
             Digest { from: 7, is_partial: true, suspects: vec![news], ..Digest::default() };
         let buf = postcard::to_stdvec(&digest).expect("it can be written");
@@ -346,7 +346,7 @@
     while told < 3 {
         let len = other.recv(&mut buf).await.expect("loopback");
         let digest: Digest = postcard::from_bytes(&buf[..len]).expect("a digest");
-        told += digest.suspects.iter().filter(|news| news.fate == Fate::Lifted).count();
+        told += digest.suspects.iter().filter(|news| news.fate == SuspectEvent::Lifted).count();
     }
     tell(2, 60_000).await;
     tell(3, 0).await;
@@ -388,7 +388,7 @@
     one.post("r1", PROMPT, "popular").await;
     let request = fingerprint("popular");
     let tell = async |fate| {
-        let suspects = vec![SuspectNews { request, fate }];
+        let suspects = vec![SuspectUpdate { request, fate }];
         let digest = Digest { from: 7, is_partial: true, suspects, ..Digest::default() };
         let buf = postcard::to_stdvec(&digest).expect("it can be written");
         other.send_to(&buf, address).await.expect("loopback");
@@ -398,13 +398,13 @@
         loop {
             let len = other.recv(&mut buf).await.expect("loopback");
             let digest: Digest = postcard::from_bytes(&buf[..len]).expect("a digest");
-            if digest.suspects.iter().any(|news| news.fate == Fate::RanWell) {
+            if digest.suspects.iter().any(|news| news.fate == SuspectEvent::RanWell) {
                 return;
             }
         }
     };
 
-    tell(Fate::Ended { engine: 1, age_ms: 0 }).await;
+    tell(SuspectEvent::Ended { engine: 1, age_ms: 0 }).await;
     says_well().await;
     assert_eq!(standing(&one, "popular"), None);
 }
--- a/crates/anvilhook-gateway/tests/unreadable.rs
+++ b/crates/anvilhook-gateway/tests/unreadable.rs
@@ -144,7 +144,7 @@
     let tunables = Tunables { grace: Millis(8_000), budget, seeds: Vec::new() };
     let mut reloader = Reloader::new(Refused, gateway.clone(), own, tunables.clone());
 
-    reloader.look(true);
+    reloader.check(true);
 
     assert_eq!(count(&gateway, "settings"), 1);
     let lines = lines_with("refused-");
--- a/crates/anvilhook-gateway/tests/watches.rs
+++ b/crates/anvilhook-gateway/tests/watches.rs
@@ -10,7 +10,7 @@
 use anvilhook_core::ranks::number_of;
 use anvilhook_core::units::{Clock, Millis};
 use anvilhook_gateway::followers::{ConfigFollower, EntryFollower, follow};
-use anvilhook_gateway::peers::{FollowedTable, TableWatch, ToldWatch, exchange};
+use anvilhook_gateway::peers::{FollowedTable, TableWatch, WatchState, exchange};
 use anvilhook_gateway::relay::Gateway;
 use anvilhook_gateway::tables::{Rows, Table, TableError, Write, Written};
 use rand::SeedableRng;
@@ -304,10 +304,10 @@
 #[test]
 fn verify_a_change_that_was_only_heard_of_is_told_on() {
     let watch = TableWatch::default();
-    let told = ToldWatch { newest: 9, ..ToldWatch::default() };
+    let told = WatchState { newest: 9, ..WatchState::default() };
 
-    watch.take_in(([127, 0, 0, 1], 9).into(), &told, Millis(100));
+    watch.merge(([127, 0, 0, 1], 9).into(), &told, Millis(100));
 
-    assert_eq!(watch.told(Millis(100)).newest, 9);
+    assert_eq!(watch.state(Millis(100)).newest, 9);
     assert_eq!(watch.version().own(), 0);
 }
--- a/crates/anvilhook-gateway/tests/zones.rs
+++ b/crates/anvilhook-gateway/tests/zones.rs
@@ -16,7 +16,7 @@
 use anvilhook_gateway::peers::{Digest, Peers, Scope, exchange, register};
 use anvilhook_gateway::prompts::{Part, Prompt};
 use anvilhook_gateway::relay::Gateway;
-use anvilhook_gateway::suspects::Break;
+use anvilhook_gateway::suspects::Interruption;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 use support::clocks::TimerClock;
@@ -145,7 +145,7 @@
     let all = instances(&MemoryTable::default()).await;
     let suspects = |one: &Instance| one.gateway.suspects().list(one.clock.now()).len();
 
-    all[0].gateway.suspects().note_break(5, REQUEST, Break::Broken);
+    all[0].gateway.suspects().record_interruption(5, REQUEST, Interruption::Broken);
     all[0].gateway.suspects().confirm_end(5, all[0].clock.now());
 
     until(|| all.iter().all(|one| suspects(one) == 1)).await;
