--- a/crates/anvilhook-bench/src/policy/instances.rs
+++ b/crates/anvilhook-bench/src/policy/instances.rs
@@ -8,7 +8,7 @@
 use anvilhook_core::names::{UpstreamName, ZoneName};
 use anvilhook_core::resources::AccountSpec;
 use anvilhook_core::retries::{RetryBudget, RetryBudgetOptions};
-use anvilhook_core::roles::{PoolShape, WorkMeter, WorkSeen};
+use anvilhook_core::roles::{ObservedWork, PoolShape, WorkMeter};
 use anvilhook_core::routing::{
     CostOptions, LaneBalancer, Lanes, Phase, Placement, RouteRequest, RouteTable, UpstreamState,
     Work,
@@ -148,7 +148,7 @@
     }
 
     /// Moves the border between the lanes by the work of all instances.
-    pub fn move_lanes(&mut self, seen: &WorkSeen) {
+    pub fn move_lanes(&mut self, seen: &ObservedWork) {
         let engines = self.engines.len();
         self.lane_keeper.update(seen, engines, &self.lanes);
     }
--- a/crates/anvilhook-bench/src/policy/role_control.rs
+++ b/crates/anvilhook-bench/src/policy/role_control.rs
@@ -3,7 +3,7 @@
 use anvilhook_core::orders::{Order, Role, Stamp, StampedOrder, Term};
 use anvilhook_core::resources::RolePolicy;
 use anvilhook_core::roles::{
-    EngineRole, PlanOptions, PoolShape, RoleCounts, RolePlanner, WorkSeen,
+    EngineRole, ObservedWork, PlanOptions, PoolShape, RoleCounts, RolePlanner,
 };
 use anvilhook_core::units::Millis;
 
@@ -36,7 +36,7 @@
     changed_at: Vec<Option<Millis>>,
     /// The change of each engine.
     pub changes: Vec<Option<Change>>,
-    seen: WorkSeen,
+    seen: ObservedWork,
     seq: u64,
 }
 
@@ -70,7 +70,7 @@
             roles: roles_of(first),
             changed_at: vec![None; Deployment::ENGINES],
             changes: vec![None; Deployment::ENGINES],
-            seen: WorkSeen::default(),
+            seen: ObservedWork::default(),
             seq: 0,
         }
     }
@@ -81,7 +81,12 @@
     }
 
     /// Returns the engines that should begin to change, given the work seen since the last plan.
-    pub fn plan(&mut self, seen: &WorkSeen, serving: &[bool], now: Millis) -> Vec<(usize, Role)> {
+    pub fn plan(
+        &mut self,
+        seen: &ObservedWork,
+        serving: &[bool],
+        now: Millis,
+    ) -> Vec<(usize, Role)> {
         match self.planning {
             Planning::Fixed(_) => Vec::new(),
             Planning::Greedy => self.plan_greedily(seen, serving),
@@ -119,8 +124,8 @@
     /// Moves at once to as many engines that only read as there is reading in the work, the rest
     /// only generating. It smooths the mix over some ten seconds, or it would follow every uneven
     /// arrival.
-    fn plan_greedily(&mut self, seen: &WorkSeen, serving: &[bool]) -> Vec<(usize, Role)> {
-        self.seen = if self.seen == WorkSeen::default() {
+    fn plan_greedily(&mut self, seen: &ObservedWork, serving: &[bool]) -> Vec<(usize, Role)> {
+        self.seen = if self.seen == ObservedWork::default() {
             *seen
         } else {
             self.seen.times(0.5).plus(seen.times(0.5))
--- a/crates/anvilhook-bench/src/policy/worlds/mod.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/mod.rs
@@ -10,7 +10,7 @@
 mod timers;
 
 use anvilhook_core::orders::Role;
-use anvilhook_core::roles::WorkSeen;
+use anvilhook_core::roles::ObservedWork;
 use anvilhook_core::routing::Work;
 use anvilhook_core::units::Millis;
 use anvilhook_standin::engines::{EngineModel, EngineOptions};
@@ -59,7 +59,7 @@
     flights: Vec<Flight>,
     outcomes: Vec<Outcome>,
     totals: Totals,
-    seen: WorkSeen,
+    seen: ObservedWork,
     crash_pending: bool,
     rng: ChaCha8Rng,
 }
@@ -81,7 +81,7 @@
             flights: vec![Flight::default(); workload.requests.len()],
             outcomes: vec![Outcome::Open; workload.requests.len()],
             totals: Totals::default(),
-            seen: WorkSeen::default(),
+            seen: ObservedWork::default(),
             crash_pending: workload.scenario == Scenario::CrashMidChange,
             rng: ChaCha8Rng::seed_from_u64(workload.seed),
         };
--- a/crates/anvilhook-bench/src/policy/worlds/reports.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/reports.rs
@@ -1,6 +1,6 @@
 //! What instances learn of engines and tell each other.
 
-use anvilhook_core::roles::WorkSeen;
+use anvilhook_core::roles::ObservedWork;
 use anvilhook_core::units::Millis;
 
 use super::World;
@@ -51,7 +51,7 @@
 
     /// Sums up the work seen by all instances, as the last digests tell each of them.
     pub(super) fn share_work_seen(&mut self) {
-        let seen = self.instances.iter().fold(WorkSeen::default(), |sum, instance| {
+        let seen = self.instances.iter().fold(ObservedWork::default(), |sum, instance| {
             sum.plus(instance.meter.take(SEEN_INTERVAL))
         });
         if self.policy.lanes {
--- a/crates/anvilhook-core/benches/decisions.rs
+++ b/crates/anvilhook-core/benches/decisions.rs
@@ -9,7 +9,7 @@
 use anvilhook_core::orders::Role;
 use anvilhook_core::reports::{LoadReport, PrefixHash};
 use anvilhook_core::resources::RolePolicy;
-use anvilhook_core::roles::{EngineRole, Flow, PlanOptions, RolePlanner, WorkSeen};
+use anvilhook_core::roles::{EngineRole, Flow, ObservedWork, PlanOptions, RolePlanner};
 use anvilhook_core::routing::{Lanes, RouteRequest, RouteTable, UpstreamState, Work};
 use anvilhook_core::units::{Millis, Tokens};
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
@@ -132,7 +132,7 @@
                 Flow { requests: 1.0, prefill: reading * 300.0, prompt: 0.0, output: 9.0 };
             let generated = engines as f64 * 400.0;
             let tight = Flow { requests: 1.0, prefill: 9.0, prompt: 9.0, output: generated };
-            planner.observe(&WorkSeen { patient, tight }, Millis::from_secs(step as u64 * 5));
+            planner.observe(&ObservedWork { patient, tight }, Millis::from_secs(step as u64 * 5));
         }
         group.bench_function(BenchmarkId::from_parameter(engines), |b| {
             b.iter(|| black_box(planner.plan(black_box(&roles), Millis::from_secs(1_200))));
--- a/crates/anvilhook-core/src/roles/capacities.rs
+++ b/crates/anvilhook-core/src/roles/capacities.rs
@@ -1,6 +1,6 @@
 //! How much of some work a pool can carry with given roles.
 
-use super::meters::{Flow, WorkSeen};
+use super::meters::{Flow, ObservedWork};
 use crate::orders::Role;
 use crate::routing::Speeds;
 
@@ -95,7 +95,7 @@
 
     /// Returns the greatest utilization of any role, where requests are split over two engines as
     /// suits best. At 1 every engine of that role is busy all the time.
-    pub fn utilization(&self, counts: &RoleCounts, seen: &WorkSeen) -> f64 {
+    pub fn utilization(&self, counts: &RoleCounts, seen: &ObservedWork) -> f64 {
         let steps = || (0..=SPLIT_STEPS).map(|step| f64::from(step) / f64::from(SPLIT_STEPS));
         let mut least = f64::INFINITY;
         for patient in steps() {
@@ -109,16 +109,16 @@
     /// Returns the share, from 0 to 1, of the work that the pool carries in time.
     ///
     /// ```
-    /// use anvilhook_core::roles::{Flow, PoolShape, RoleCounts, WorkSeen};
+    /// use anvilhook_core::roles::{Flow, PoolShape, RoleCounts, ObservedWork};
     ///
     /// let shape = PoolShape::default();
     /// let tight = Flow { requests: 6.0, prefill: 12_000.0, prompt: 12_000.0, output: 1_800.0 };
-    /// let seen = WorkSeen { tight, patient: Flow::default() };
+    /// let seen = ObservedWork { tight, patient: Flow::default() };
     /// let mixed = RoleCounts { mixed: 4, ..Default::default() };
     /// let apart = RoleCounts { prefill: 2, decode: 2, ..Default::default() };
     /// assert!(shape.served_share(&mixed, &seen) < shape.served_share(&apart, &seen));
     /// ```
-    pub fn served_share(&self, counts: &RoleCounts, seen: &WorkSeen) -> f64 {
+    pub fn served_share(&self, counts: &RoleCounts, seen: &ObservedWork) -> f64 {
         let utilization = self.utilization(counts, seen);
         if utilization <= FULL_UTILIZATION { 1.0 } else { FULL_UTILIZATION / utilization }
     }
@@ -128,7 +128,7 @@
     fn utilization_of(
         &self,
         counts: &RoleCounts,
-        seen: &WorkSeen,
+        seen: &ObservedWork,
         patient: f64,
         tight: f64,
     ) -> f64 {
--- a/crates/anvilhook-core/src/roles/meters.rs
+++ b/crates/anvilhook-core/src/roles/meters.rs
@@ -42,16 +42,16 @@
     }
 }
 
-/// `WorkSeen` is the work of a pool over some span, by the slack of its deadlines.
+/// `ObservedWork` is the work of a pool over some span, by the slack of its deadlines.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
-pub struct WorkSeen {
+pub struct ObservedWork {
     /// Requests that end in time even if prompts are read on their engine all the while.
     pub patient: Flow,
     /// Requests that do not.
     pub tight: Flow,
 }
 
-impl WorkSeen {
+impl ObservedWork {
     /// Returns the sum of what two instances saw.
     pub fn plus(self, other: Self) -> Self {
         Self { patient: self.patient.plus(other.patient), tight: self.tight.plus(other.tight) }
@@ -121,7 +121,7 @@
     }
 
     /// Returns the work since the last call, `span` ago.
-    pub fn take(&self, span: Millis) -> WorkSeen {
-        WorkSeen { patient: self.patient.take(span), tight: self.tight.take(span) }
+    pub fn take(&self, span: Millis) -> ObservedWork {
+        ObservedWork { patient: self.patient.take(span), tight: self.tight.take(span) }
     }
 }
--- a/crates/anvilhook-core/src/roles/mod.rs
+++ b/crates/anvilhook-core/src/roles/mod.rs
@@ -9,5 +9,5 @@
 mod planners;
 
 pub use capacities::{PoolShape, RoleCounts};
-pub use meters::{Flow, WorkMeter, WorkSeen};
+pub use meters::{Flow, ObservedWork, WorkMeter};
 pub use planners::{EngineRole, PlanOptions, RoleBounds, RoleChange, RolePlanner};
--- a/crates/anvilhook-core/src/roles/planners.rs
+++ b/crates/anvilhook-core/src/roles/planners.rs
@@ -1,7 +1,7 @@
 //! The role planner.
 
 use super::capacities::{PoolShape, RoleCounts};
-use super::meters::WorkSeen;
+use super::meters::ObservedWork;
 use crate::names::UpstreamName;
 use crate::orders::Role;
 use crate::resources::RolePolicy;
@@ -100,7 +100,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Remembered {
     weight: f64,
-    seen: WorkSeen,
+    seen: ObservedWork,
 }
 
 /// `RolePlanner` plans the roles of one pool.
@@ -113,7 +113,7 @@
 pub struct RolePlanner {
     options: PlanOptions,
     remembered: [Remembered; MIX_BINS],
-    present: WorkSeen,
+    present: ObservedWork,
     present_mix: usize,
     since: Millis,
     observed_at: Option<Millis>,
@@ -125,7 +125,7 @@
         Self {
             options,
             remembered: [Remembered::default(); MIX_BINS],
-            present: WorkSeen::default(),
+            present: ObservedWork::default(),
             present_mix: 0,
             since: Millis::ZERO,
             observed_at: None,
@@ -133,7 +133,7 @@
     }
 
     /// Takes in the work of the pool, summed over all instances, since the last call.
-    pub fn observe(&mut self, seen: &WorkSeen, now: Millis) {
+    pub fn observe(&mut self, seen: &ObservedWork, now: Millis) {
         let span_s = self.observed_at.map_or(1.0, |at| (now - at).as_secs_f64());
         self.observed_at = Some(now);
         let fade = (-span_s / self.options.memory.as_secs_f64()).exp();
@@ -149,7 +149,7 @@
         let part = span_s / (remembered.weight + span_s);
         remembered.seen = remembered.seen.times(1.0 - part).plus(seen.times(part));
         remembered.weight += span_s;
-        self.present = if self.present == WorkSeen::default() {
+        self.present = if self.present == ObservedWork::default() {
             *seen
         } else {
             self.present.times(0.5).plus(seen.times(0.5))
@@ -249,7 +249,7 @@
         changes
     }
 
-    fn mix_of(&self, seen: &WorkSeen) -> usize {
+    fn mix_of(&self, seen: &ObservedWork) -> usize {
         let speeds = &self.options.shape.speeds;
         let all = seen.patient.plus(seen.tight);
         let reading = all.prefill / speeds.prefill_tokens_per_ms;
--- a/crates/anvilhook-core/src/routing/lanes.rs
+++ b/crates/anvilhook-core/src/routing/lanes.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use crate::reports::PrefixHash;
-use crate::roles::{PoolShape, WorkSeen};
+use crate::roles::{ObservedWork, PoolShape};
 
 /// The steps in which the share of the patient lane is stored.
 const BORDER_STEPS: f64 = 65_536.0;
@@ -77,7 +77,7 @@
 #[derive(Clone, Debug)]
 pub struct LaneBalancer {
     shape: PoolShape,
-    seen: Option<WorkSeen>,
+    seen: Option<ObservedWork>,
     border: Option<f64>,
 }
 
@@ -88,7 +88,7 @@
     }
 
     /// Moves the border of `engines` places by the work of the pool, summed over all instances.
-    pub fn update(&mut self, seen: &WorkSeen, engines: usize, lanes: &Lanes) {
+    pub fn update(&mut self, seen: &ObservedWork, engines: usize, lanes: &Lanes) {
         let seen = match self.seen {
             Some(before) => before.times(1.0 - NEWEST_WEIGHT).plus(seen.times(NEWEST_WEIGHT)),
             None => *seen,
--- a/crates/anvilhook-core/src/routing/mod.rs
+++ b/crates/anvilhook-core/src/routing/mod.rs
@@ -7,7 +7,7 @@
 mod costs;
 mod lanes;
 mod loads;
-mod readings;
+mod polls;
 mod searches;
 mod tables;
 mod upstreams;
@@ -15,6 +15,6 @@
 pub use costs::{CostOptions, Estimate, Phase, estimate};
 pub use lanes::{LaneBalancer, Lanes};
 pub use loads::{Load, Speeds};
-pub use readings::{ReadingOptions, ReadingSchedule};
+pub use polls::{PollOptions, PollSchedule};
 pub use tables::{Candidate, Placement, RouteRequest, RouteTable};
 pub use upstreams::{SentSince, SentTotals, UpstreamState, Work};
--- a/crates/anvilhook-core/src/routing/readings.rs
+++ b/crates/anvilhook-core/src/routing/polls.rs
@@ -5,9 +5,9 @@
 use crate::names::UpstreamName;
 use crate::units::Millis;
 
-/// `ReadingOptions` bounds what an instance reads by itself.
+/// `PollOptions` bounds what an instance reads by itself.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub struct ReadingOptions {
+pub struct PollOptions {
     /// How long after the last digest of an engine it counts as missed.
     pub missed_after: Millis,
     /// The least time between two readings of an engine that others should read.
@@ -18,7 +18,7 @@
     pub at_once: usize,
 }
 
-impl Default for ReadingOptions {
+impl Default for PollOptions {
     fn default() -> Self {
         Self {
             missed_after: Millis(4_000),
@@ -37,7 +37,7 @@
     tried_at: Option<Millis>,
 }
 
-/// `ReadingSchedule` says which engines are due to be read. Those that this instance reads for all
+/// `PollSchedule` says which engines are due to be read. Those that this instance reads for all
 /// are due each turn. The others are due only while no digest of them arrives, and at a bounded rate:
 /// an instance whose links are lost would otherwise read the whole fleet as often as its readers do.
 ///
@@ -45,29 +45,29 @@
 /// use std::collections::BTreeSet;
 ///
 /// use anvilhook_core::names::UpstreamName;
-/// use anvilhook_core::routing::{ReadingOptions, ReadingSchedule};
+/// use anvilhook_core::routing::{PollOptions, PollSchedule};
 /// use anvilhook_core::units::Millis;
 ///
 /// let engine = UpstreamName::try_new("engine-1")?;
-/// let mut schedule = ReadingSchedule::new(ReadingOptions::default());
+/// let mut schedule = PollSchedule::new(PollOptions::default());
 /// schedule.set_engines([&engine], &BTreeSet::new());
-/// schedule.told(&engine, Millis(1_000));
+/// schedule.record_digest(&engine, Millis(1_000));
 /// assert_eq!(schedule.due(Millis(2_000)), []);
 /// assert_eq!(schedule.due(Millis(6_000)), [engine]);
 /// # Ok::<(), anvilhook_core::Error>(())
 /// ```
 #[derive(Debug)]
-pub struct ReadingSchedule {
-    options: ReadingOptions,
+pub struct PollSchedule {
+    options: PollOptions,
     entries: BTreeMap<UpstreamName, Entry>,
     // Thousandths of readings of missed engines that are left.
     credit: u64,
     credited_at: Millis,
 }
 
-impl ReadingSchedule {
+impl PollSchedule {
     /// Begins without engines.
-    pub fn new(options: ReadingOptions) -> Self {
+    pub fn new(options: PollOptions) -> Self {
         let credit = options.missed_per_s * 1_000;
         Self { options, entries: BTreeMap::new(), credit, credited_at: Millis::ZERO }
     }
@@ -87,7 +87,7 @@
     }
 
     /// Notes that a newer digest of an engine was written at `at`.
-    pub fn told(&mut self, engine: &UpstreamName, at: Millis) {
+    pub fn record_digest(&mut self, engine: &UpstreamName, at: Millis) {
         if let Some(entry) = self.entries.get_mut(engine) {
             entry.told_at = entry.told_at.max(Some(at));
         }
--- a/crates/anvilhook-core/tests/readers.rs
+++ b/crates/anvilhook-core/tests/readers.rs
@@ -4,7 +4,7 @@
 
 use anvilhook_core::membership::{READERS, choose_readers};
 use anvilhook_core::names::{InstanceName, UpstreamName, ZoneName};
-use anvilhook_core::routing::{ReadingOptions, ReadingSchedule};
+use anvilhook_core::routing::{PollOptions, PollSchedule};
 use anvilhook_core::units::Millis;
 
 type Member = (InstanceName, ZoneName);
@@ -94,8 +94,8 @@
     // Sequence: an instance loses all links, and misses the digests of 600 engines at once.
     // Cause: each missed engine is read each turn.
     let engines = engines(600);
-    let options = ReadingOptions::default();
-    let mut schedule = ReadingSchedule::new(options);
+    let options = PollOptions::default();
+    let mut schedule = PollSchedule::new(options);
     schedule.set_engines(&engines, &engines[..3].iter().cloned().collect());
     let mut reads: BTreeMap<UpstreamName, u64> = BTreeMap::new();
 
@@ -118,14 +118,14 @@
 #[test]
 fn verify_who_is_told_of_an_engine_reads_it_only_when_digests_stop() {
     let engine = &engines(1)[0];
-    let mut schedule = ReadingSchedule::new(ReadingOptions::default());
+    let mut schedule = PollSchedule::new(PollOptions::default());
     schedule.set_engines([engine], &BTreeSet::new());
     let mut read_at = Vec::new();
 
     for now in (0..12_000).step_by(250).map(Millis) {
         // The first digest comes in at 250 ms, the last one at 5 s.
         if (250..=5_000).contains(&now.0) {
-            schedule.told(engine, now);
+            schedule.record_digest(engine, now);
         }
         for name in schedule.due(now) {
             schedule.ended(&name);
@@ -139,7 +139,7 @@
 #[test]
 fn verify_a_reading_that_hangs_is_not_begun_again() {
     let engines = engines(2);
-    let mut schedule = ReadingSchedule::new(ReadingOptions::default());
+    let mut schedule = PollSchedule::new(PollOptions::default());
     schedule.set_engines(&engines, &engines.iter().cloned().collect());
 
     assert_eq!(schedule.due(Millis(0)).len(), 2);
--- a/crates/anvilhook-core/tests/roles.rs
+++ b/crates/anvilhook-core/tests/roles.rs
@@ -3,7 +3,7 @@
 use anvilhook_core::orders::Role;
 use anvilhook_core::resources::RolePolicy;
 use anvilhook_core::roles::{
-    EngineRole, Flow, PlanOptions, RoleBounds, RoleChange, RoleCounts, RolePlanner, WorkSeen,
+    EngineRole, Flow, ObservedWork, PlanOptions, RoleBounds, RoleChange, RoleCounts, RolePlanner,
 };
 use anvilhook_core::units::Millis;
 
@@ -30,22 +30,22 @@
 }
 
 /// Long prompts whose output is read as it comes: reading stretches the time between tokens.
-fn long_and_tight() -> WorkSeen {
+fn long_and_tight() -> ObservedWork {
     let tight = Flow { requests: 17.0, prefill: 34_000.0, prompt: 34_000.0, output: 5_100.0 };
-    WorkSeen { tight, patient: Flow::default() }
+    ObservedWork { tight, patient: Flow::default() }
 }
 
 /// Short prompts with long output: a pool split for long prompts has too few engines that generate.
-fn short() -> WorkSeen {
+fn short() -> ObservedWork {
     let tight = Flow { requests: 30.0, prefill: 6_000.0, prompt: 6_000.0, output: 10_000.0 };
-    WorkSeen { tight, patient: Flow::default() }
+    ObservedWork { tight, patient: Flow::default() }
 }
 
 /// Plays a course of mixes and carries out each change at once. Returns the changes with times.
 fn play(
     options: PlanOptions,
     secs: u64,
-    mix: impl Fn(u64) -> WorkSeen,
+    mix: impl Fn(u64) -> ObservedWork,
 ) -> (Vec<(Millis, RoleChange)>, Vec<EngineRole>) {
     let mut planner = RolePlanner::new(options);
     let mut engines = pool();
--- a/crates/anvilhook-core/tests/routing.rs
+++ b/crates/anvilhook-core/tests/routing.rs
@@ -6,7 +6,7 @@
 use anvilhook_core::names::{UpstreamName, ZoneName};
 use anvilhook_core::orders::Role;
 use anvilhook_core::reports::{CacheChange, CacheEvent, CacheEventPage, LoadReport, PrefixHash};
-use anvilhook_core::roles::{Flow, PoolShape, WorkSeen};
+use anvilhook_core::roles::{Flow, ObservedWork, PoolShape};
 use anvilhook_core::routing::{
     LaneBalancer, Lanes, Phase, Placement, RouteRequest, RouteTable, SentSince, SentTotals,
     UpstreamState, Work,
@@ -194,7 +194,8 @@
     let mixes = [((1.0, 0.0), 12.0), ((0.0, 4.0), 1.0), ((1.0, 1.0), 8.5), ((1.0, 4.0), 4.5)];
 
     for ((patient, tight), wanted) in mixes {
-        let seen = WorkSeen { patient: documents.times(patient), tight: questions.times(tight) };
+        let seen =
+            ObservedWork { patient: documents.times(patient), tight: questions.times(tight) };
         (0..60).for_each(|_| keeper.update(&seen, 12, &lanes));
 
         let range = |tight| lanes.range(tight, 12);
--- a/crates/anvilhook-daemon/src/instances/authorities.rs
+++ b/crates/anvilhook-daemon/src/instances/authorities.rs
@@ -8,7 +8,7 @@
 use anvilhook_core::resources::{
     Condition, ConditionState, Configuration, Kind, ResourceKey, ServiceBackend,
 };
-use anvilhook_core::roles::WorkSeen;
+use anvilhook_core::roles::ObservedWork;
 use anvilhook_core::units::{Clock, Millis};
 use anvilhook_engine::{EngineControl, Upstreams};
 use anvilhook_http::{Phase, Shutdown};
@@ -215,14 +215,14 @@
 
     /// Returns the work of a pool since its last plan. The balancer spreads callers evenly over the
     /// instances, so this one's own share stands for all.
-    fn seen_work(&self, pool: &PoolName, now: Millis) -> WorkSeen {
+    fn seen_work(&self, pool: &PoolName, now: Millis) -> ObservedWork {
         let span = self.planners.span(pool, now).unwrap_or_default();
         let state = self.front.state();
         let of_pool = state.services().values().filter(|service| match &service.spec.backend {
             ServiceBackend::Model { pool: other, .. } => other == pool,
             ServiceBackend::Plain { .. } => false,
         });
-        let own = of_pool.fold(WorkSeen::default(), |sum, it| sum.plus(it.meter.take(span)));
+        let own = of_pool.fold(ObservedWork::default(), |sum, it| sum.plus(it.meter.take(span)));
         own.times((*self.instances.borrow()).max(1) as f64)
     }
 
--- a/crates/anvilhook-daemon/src/instances/loads.rs
+++ b/crates/anvilhook-daemon/src/instances/loads.rs
@@ -7,9 +7,7 @@
 use anvilhook_core::names::{InstanceName, UpstreamName, ZoneName};
 use anvilhook_core::reports::LoadReport;
 use anvilhook_core::resources::Kind;
-use anvilhook_core::routing::{
-    ReadingOptions, ReadingSchedule, SentSince, SentTotals, UpstreamState,
-};
+use anvilhook_core::routing::{PollOptions, PollSchedule, SentSince, SentTotals, UpstreamState};
 use anvilhook_core::units::{Clock, Millis};
 use anvilhook_engine::{EngineControl, Upstreams};
 use anvilhook_peer::gossip::{EngineDigest, LoadSection, ReceivedSection, ReportDigest};
@@ -84,7 +82,7 @@
 /// `Book` holds what the task knows between its turns.
 #[derive(Debug)]
 struct Book {
-    schedule: ReadingSchedule,
+    schedule: PollSchedule,
     engines: BTreeMap<UpstreamName, Engine>,
     peers: BTreeMap<InstanceName, Peer>,
     /// The members that the readers were chosen among.
@@ -95,7 +93,7 @@
     /// Reads, hears and tells load again and again.
     pub async fn keep<E: EngineControl>(self, control: E, pause: Millis) {
         let mut book = Book {
-            schedule: ReadingSchedule::new(ReadingOptions::default()),
+            schedule: PollSchedule::new(PollOptions::default()),
             engines: BTreeMap::new(),
             peers: BTreeMap::new(),
             members: Vec::new(),
@@ -188,7 +186,7 @@
                 let Some(entry) = book.engines.get_mut(&digest.engine) else { continue };
                 if known.is_newer(entry.told.as_ref()) {
                     entry.told = Some(known.clone());
-                    book.schedule.told(&digest.engine, written_at);
+                    book.schedule.record_digest(&digest.engine, written_at);
                     self.counts.told(&digest.engine);
                 }
                 self.adopt(entry, engine, known, now);
@@ -224,7 +222,7 @@
         now: Millis,
     ) {
         let mut section = LoadSection::default();
-        let fresh = ReadingOptions::default().missed_after;
+        let fresh = PollOptions::default().missed_after;
         for (name, entry) in &mut book.engines {
             let Some(engine) = states.get(name) else { continue };
             let total = engine.sent();
--- a/crates/anvilhook-daemon/src/instances/roles.rs
+++ b/crates/anvilhook-daemon/src/instances/roles.rs
@@ -10,7 +10,7 @@
 use anvilhook_core::orders::Role;
 use anvilhook_core::resources::RolePolicy;
 use anvilhook_core::roles::{
-    EngineRole, PlanOptions, PoolShape, RoleBounds, RoleCounts, RolePlanner, WorkSeen,
+    EngineRole, ObservedWork, PlanOptions, PoolShape, RoleBounds, RoleCounts, RolePlanner,
 };
 use anvilhook_core::routing::Speeds;
 use anvilhook_core::units::Millis;
@@ -91,7 +91,7 @@
         pool: &PoolName,
         declared: &PoolDeclaration,
         engines: &[SeenEngine],
-        seen: &WorkSeen,
+        seen: &ObservedWork,
         now: Millis,
     ) -> Option<String> {
         let options = self.options(declared, engines);
@@ -139,7 +139,7 @@
         Self { options, planner, since, planned_at: now, wanted, wanted_since, told: None }
     }
 
-    fn plan(&mut self, engines: &[SeenEngine], seen: &WorkSeen, now: Millis) -> Option<String> {
+    fn plan(&mut self, engines: &[SeenEngine], seen: &ObservedWork, now: Millis) -> Option<String> {
         self.planner.observe(seen, now);
         let declared: BTreeSet<&UpstreamName> = engines.iter().map(|engine| &engine.name).collect();
         self.wanted.retain(|name, _| declared.contains(name));
@@ -169,7 +169,12 @@
         })
     }
 
-    fn reason(&mut self, engines: &[EngineRole], seen: &WorkSeen, now: Millis) -> Option<String> {
+    fn reason(
+        &mut self,
+        engines: &[EngineRole],
+        seen: &ObservedWork,
+        now: Millis,
+    ) -> Option<String> {
         let mut counts = RoleCounts::default();
         engines.iter().filter(|engine| engine.serving).for_each(|engine| counts.add(engine.role));
         let changing = engines.iter().filter(|engine| engine.changing).count();
--- a/crates/anvilhook-daemon/tests/role_planners.rs
+++ b/crates/anvilhook-daemon/tests/role_planners.rs
@@ -6,7 +6,7 @@
 use anvilhook_core::names::{PoolName, UpstreamName};
 use anvilhook_core::orders::{Order, Role, Stamp, StampedOrder, Term};
 use anvilhook_core::resources::RolePolicy;
-use anvilhook_core::roles::{Flow, RoleBounds, RoleCounts, WorkSeen};
+use anvilhook_core::roles::{Flow, ObservedWork, RoleBounds, RoleCounts};
 use anvilhook_core::routing::Speeds;
 use anvilhook_core::units::Millis;
 use anvilhook_daemon::instances::{PoolDeclaration, RolePlanners, SeenEngine};
@@ -20,14 +20,14 @@
 const DRAIN: Millis = Millis::from_secs(3);
 
 /// Long prompts with long outputs that leave little time, as eight mixed engines can't carry.
-fn tight() -> WorkSeen {
+fn tight() -> ObservedWork {
     let tight = Flow { requests: 12.0, prefill: 24_000.0, prompt: 24_000.0, output: 3_600.0 };
-    WorkSeen { tight, patient: Flow::default() }
+    ObservedWork { tight, patient: Flow::default() }
 }
 
-fn quick() -> WorkSeen {
+fn quick() -> ObservedWork {
     let patient = Flow { requests: 10.0, prefill: 3_000.0, prompt: 3_000.0, output: 200.0 };
-    WorkSeen { patient, tight: Flow::default() }
+    ObservedWork { patient, tight: Flow::default() }
 }
 
 fn declared(change_weight: f64, bounds: RoleBounds) -> PoolDeclaration {
@@ -80,7 +80,7 @@
     }
 
     /// Runs for a while: plans, drains and orders.
-    fn run(&mut self, declared: &PoolDeclaration, seen: &WorkSeen, span: Millis) {
+    fn run(&mut self, declared: &PoolDeclaration, seen: &ObservedWork, span: Millis) {
         let until = self.now + span;
         while self.now < until {
             self.now += STEP;
--- a/crates/anvilhook-peer/tests/digests.rs
+++ b/crates/anvilhook-peer/tests/digests.rs
@@ -7,7 +7,7 @@
 use anvilhook_core::names::UpstreamName;
 use anvilhook_core::orders::Role;
 use anvilhook_core::reports::LoadReport;
-use anvilhook_core::routing::ReadingOptions;
+use anvilhook_core::routing::PollOptions;
 use anvilhook_core::units::{Millis, Tokens};
 use anvilhook_peer::PeerAddress;
 use anvilhook_peer::gossip::{
@@ -75,7 +75,7 @@
 
 #[test]
 fn verify_cost_of_digests_as_the_fleet_grows() {
-    let (gossip, reading) = (GossipOptions::default(), ReadingOptions::default());
+    let (gossip, reading) = (GossipOptions::default(), PollOptions::default());
     println!("instances engines | all read all/s | readers/s missed/s | bytes/s a node, every ms");
     for (count, engine_count) in [(3, 12), (9, 12), (27, 42), (81, 125), (390, 600)] {
         let members: Vec<PeerAddress> = (0..count)
