--- a/crates/anvilhook-gateway/src/loads.rs
+++ b/crates/anvilhook-gateway/src/loads.rs
@@ -179,7 +179,7 @@
     }
 
     /// Returns whether this instance got an error so shortly ago that the others are told.
-    pub fn should_publish_error(&self, now: Millis) -> bool {
+    pub fn has_recent_own_error(&self, now: Millis) -> bool {
         let error_at = self.own_error_at.load(Ordering::Acquire);
         error_at > 0 && now < Millis(error_at) + ERROR_NEWS
     }
@@ -222,7 +222,7 @@
     }
 
     /// Returns whether the upstream told this instance so shortly ago that the others are told.
-    pub fn should_publish_leaving(&self, now: Millis) -> bool {
+    pub fn has_recent_own_leaving(&self, now: Millis) -> bool {
         let at = self.own_leaving_at.load(Ordering::Acquire);
         at > 0 && now < Millis(at) + LEAVING_NEWS
     }
--- a/crates/anvilhook-gateway/src/peers/notices.rs
+++ b/crates/anvilhook-gateway/src/peers/notices.rs
@@ -87,8 +87,8 @@
         left_ms(state.own_away_until()).map(|left_ms| NoticeKind::Away { left_ms }),
         left_ms(state.own_closed_until()).map(|left_ms| NoticeKind::Closed { left_ms }),
         state.is_observed_gone().then_some(NoticeKind::Gone),
-        state.should_publish_leaving(now).then_some(NoticeKind::Leaving),
-        state.should_publish_error(now).then_some(NoticeKind::Error),
+        state.has_recent_own_leaving(now).then_some(NoticeKind::Leaving),
+        state.has_recent_own_error(now).then_some(NoticeKind::Error),
         own_observed_role(upstream),
         own_role_change(upstream, now),
     ];
