--- a/crates/anvilhook-gateway/src/relay/access.rs
+++ b/crates/anvilhook-gateway/src/relay/access.rs
@@ -1,4 +1,4 @@
-//! Whether a caller may be served: its API key against the configuration in force.
+//! Checks a caller's API key against the active configuration.
 
 use anvilhook_core::api_keys::KeyDigest;
 use anvilhook_core::units::Clock;
@@ -11,14 +11,14 @@
 use crate::configs::Config;
 use crate::wires::Wire;
 
-/// The longest key, in bytes. A longer one is nobody's, and not worth its digest.
+/// The maximum length of a key, in bytes. No account has a longer one, so it is not even hashed.
 const MAX_KEY_BYTES: usize = 4_096;
 
-/// The reason of answers to callers whose key is unknown, withdrawn or missing.
+/// The reason sent to callers whose key is unknown, withdrawn or missing.
 const UNKNOWN_KEY: &str = "unknown_key";
 
-/// Returns the digest of the key that a caller shows. Credentials that can't be read, and two of them, are
-/// none: it would not be known which of them an upstream or a cache in between goes by.
+/// Returns the digest of the key that a caller presents. Unreadable credentials count as none. So do two
+/// `Authorization` headers, because an upstream or an intermediate cache might use either of them.
 pub(super) fn key_of(config: &Config, headers: &HeaderMap) -> Option<KeyDigest> {
     let accounts = config.accounts()?;
     let mut credentials = headers.get_all(AUTHORIZATION).iter();
@@ -32,17 +32,17 @@
     is_key.then(|| accounts.digest(key.as_bytes()))
 }
 
-/// Returns the answer to a caller that may not be served.
+/// Returns the answer for a caller that may not be served.
 pub(super) fn no_access() -> OwnAnswer {
     OwnAnswer::failed(StatusCode::UNAUTHORIZED, UNKNOWN_KEY)
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Looks a request's key up anew, by the configuration in force now. Returns the answer if it allows
-    /// the request no more.
+    /// Checks a request's key again, by the configuration that is active now. Returns the final answer if
+    /// the request is no longer allowed.
     ///
-    /// A key that is withdrawn while a request waits would otherwise still be served.
-    pub(super) fn denied(&self, exchange: &mut Exchange) -> Option<Outcome> {
+    /// Otherwise a request could still be served although its key was withdrawn while it waited.
+    pub(super) fn check_access(&self, exchange: &mut Exchange) -> Option<Outcome> {
         let config = self.config()?;
         match config.access(&exchange.route, exchange.key.as_ref()) {
             Some(access) => {
--- a/crates/anvilhook-gateway/src/relay/answers.rs
+++ b/crates/anvilhook-gateway/src/relay/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the answers that are sent to callers.
 
 use anvilhook_core::units::{Clock, Millis};
 use bytes::Bytes;
@@ -17,11 +17,11 @@
 
 /// `Outcome` is how a request is answered.
 pub(super) enum Outcome {
-    /// An upstream's whole answer.
+    /// A complete answer from an upstream.
     Whole(WholeAnswer),
-    /// An upstream's stream, of which the first event has come.
+    /// A stream from an upstream, whose first event has been received.
     Stream(Box<Relay>),
-    /// An answer of the gateway's own.
+    /// An answer that the gateway itself produced.
     Own(OwnAnswer),
 }
 
@@ -33,7 +33,7 @@
     pub body: Bytes,
 }
 
-/// `OwnAnswer` is an answer without an upstream's.
+/// `OwnAnswer` is an answer that the gateway produces without an upstream.
 #[derive(Clone, Debug)]
 pub(super) struct OwnAnswer {
     pub status: StatusCode,
@@ -42,17 +42,17 @@
 }
 
 impl Outcome {
-    /// Says that the request has not run and never will, and when to come back.
+    /// Creates an answer that the request has not run and never will, with the time until a retry.
     pub fn refused(reason: &'static str, retry_after: Millis) -> Self {
         Outcome::Own(OwnAnswer::refused(reason, retry_after))
     }
 
-    /// Says that the request failed, without a promise unless the status is one.
+    /// Creates an answer that the request failed. Only the status may indicate whether it has run.
     pub fn failed(status: StatusCode, reason: &'static str) -> Self {
         Outcome::Own(OwnAnswer::failed(status, reason))
     }
 
-    /// Says that the request failed and may have run.
+    /// Creates an answer that the request failed and may have run.
     pub fn may_have_run(reason: &'static str) -> Self {
         Self::failed(StatusCode::BAD_GATEWAY, reason)
     }
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Returns why, for logs.
+    /// Returns the reason for logs.
     pub fn reason(&self) -> &'static str {
         match self {
             Outcome::Whole(_) => "answered",
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Returns when the caller is to come back, if it is.
+    /// Returns the time after which the caller should retry, if it should.
     pub fn retry_after(&self) -> Option<Millis> {
         match self {
             Outcome::Own(answer) => answer.retry_after,
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Makes the answer for the caller. Its request counts as in flight until the answer has left the
+    /// Creates the response for the caller. The request counts as in flight until the response has left the
     /// process.
     pub fn into_response<W: Wire, C: Clock>(
         self,
@@ -114,13 +114,13 @@
 }
 
 impl OwnAnswer {
-    /// Says that the request has not run and never will, and when to come back.
+    /// Creates an answer that the request has not run and never will, with the time until a retry.
     pub fn refused(reason: &'static str, retry_after: Millis) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Self { status, reason, retry_after: Some(retry_after) }
     }
 
-    /// Says that the request failed, without a promise unless the status is one.
+    /// Creates an answer that the request failed. Only the status may indicate whether it has run.
     pub fn failed(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
@@ -142,7 +142,7 @@
     }
 }
 
-/// Has the caller's connection closed after an answer, so that it goes to another instance.
+/// Closes the caller's connection after this answer, so that the caller connects to another instance.
 pub(super) fn close_after(answer: &mut Response) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one upstream, and the check of what comes back.
+//! Sends a request to one upstream and checks the answer.
 
 use std::sync::Arc;
 
@@ -25,48 +25,48 @@
 use crate::metrics::AttemptLabels;
 use crate::wires::Wire;
 
-/// The most bytes of an answer that is collected before it is passed on.
+/// The maximum size of an answer that is collected before it is forwarded, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How long an engine that answered with the wrong stage is left alone.
+/// How long an engine is not used after it refused a request for the wrong stage.
 const WRONG_STAGE_PAUSE: Millis = Millis(300);
 
-/// How long an upstream whose host refuses connections is left alone by all instances. One that starts
-/// again is listed about as late; one that was full has room by then.
+/// How long no instance uses an upstream whose host refuses connections. An upstream that restarts is
+/// listed after about this time, and one that was full accepts connections again by then.
 const CLOSED_PAUSE: Millis = Millis(800);
 
-/// `Failed` is an attempt that brought no answer to pass on.
+/// `Failed` describes an attempt that produced no answer to forward.
 #[derive(Clone, Debug)]
 pub(super) struct Failed {
     pub verdict: Verdict,
     pub cause: &'static str,
-    /// Whether the upstream itself refused, which shows that it is alive.
+    /// Whether the upstream itself refused the request, which shows that it is alive.
     pub is_refusal: bool,
-    /// Whether the request reached the upstream.
+    /// How far the attempt got.
     pub contact: Contact,
-    /// What it says of the upstream itself.
-    pub ending: Ending,
+    /// What the failure indicates about the upstream itself.
+    pub signal: FailureSignal,
 }
 
-/// `Ending` is what a failed attempt says of its upstream.
+/// `FailureSignal` is what a failed attempt indicates about its upstream.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub(super) enum Ending {
-    /// The connection broke amid the attempt.
+pub(super) enum FailureSignal {
+    /// The connection broke during the attempt.
     Broken,
-    /// Nothing came in time.
-    Silent,
-    /// Nothing: it answered, or was not reached.
-    Unharmed,
+    /// The upstream sent nothing in time.
+    TimedOut,
+    /// No sign of a fault: the upstream answered or was not reached.
+    None,
 }
 
 /// `Contact` is how far an attempt got.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Contact {
-    /// The request was handed over, or may have been.
+    /// The request was sent, or may have been.
     Made,
-    /// The upstream's host refused the connection: nothing listens there, or it takes no more.
+    /// The upstream's host refused the connection: nothing listens there, or its queue is full.
     Refused,
-    /// No connection was made.
+    /// No connection was established.
     None,
 }
 
@@ -75,14 +75,14 @@
         Self { is_refusal: true, contact: Contact::Made, ..Self::not_sent(cause) }
     }
 
-    /// A try that ended before anything was sent.
+    /// Creates a failure that occurred before anything was sent.
     pub fn not_sent(cause: &'static str) -> Self {
         Self {
             verdict: Verdict::NotRun,
             cause,
             is_refusal: false,
             contact: Contact::None,
-            ending: Ending::Unharmed,
+            signal: FailureSignal::None,
         }
     }
 
@@ -90,14 +90,14 @@
         Self { verdict: Verdict::MayHaveRun, contact: Contact::Made, ..Self::not_sent(cause) }
     }
 
-    /// A try whose connection broke.
+    /// Creates a failure by a broken connection.
     pub fn broken(cause: &'static str) -> Self {
-        Self { ending: Ending::Broken, ..Self::may_have_run(cause) }
+        Self { signal: FailureSignal::Broken, ..Self::may_have_run(cause) }
     }
 
-    /// A try of which nothing came in time.
-    pub fn silent(cause: &'static str) -> Self {
-        Self { ending: Ending::Silent, ..Self::may_have_run(cause) }
+    /// Creates a failure of an upstream that sent nothing in time.
+    pub fn timed_out(cause: &'static str) -> Self {
+        Self { signal: FailureSignal::TimedOut, ..Self::may_have_run(cause) }
     }
 }
 
@@ -113,67 +113,67 @@
             (Verdict::NotRun, true) => Contact::None,
             _ => Contact::Made,
         };
-        let ending = match (err.verdict(), err.timed_out) {
-            (Verdict::NotRun, _) => Ending::Unharmed,
-            (_, true) => Ending::Silent,
-            (_, false) => Ending::Broken,
+        let signal = match (err.verdict(), err.timed_out) {
+            (Verdict::NotRun, _) => FailureSignal::None,
+            (_, true) => FailureSignal::TimedOut,
+            (_, false) => FailureSignal::Broken,
         };
-        Self { verdict: err.verdict(), cause, is_refusal: false, contact, ending }
+        Self { verdict: err.verdict(), cause, is_refusal: false, contact, signal }
     }
 }
 
-/// `Sending` is how an attempt is sent.
+/// `Sending` describes how an attempt is sent.
 pub(super) struct Sending<'a> {
     pub upstream: &'a Upstream,
-    /// Headers that the gateway sets, beside those of every attempt.
+    /// Headers that the gateway sets in addition to those of every attempt.
     pub extra: Vec<(HeaderName, HeaderValue)>,
     pub connection: Connection,
-    /// How long the head of the answer may take.
+    /// The timeout for the head of the answer.
     pub head_timeout: Millis,
-    /// The role that the upstream must have for it, if it is a model engine.
+    /// The role that the upstream must have, if it is a model engine.
     pub role: Option<Role>,
     /// What the attempt is for, for logs.
     pub stage: &'static str,
-    /// The predicted time until it is done, in milliseconds, for logs.
+    /// The predicted time until the attempt is done, in milliseconds, for logs.
     pub predicted_ms: f64,
-    /// What of that is the engine's own work, in milliseconds, for logs.
+    /// The part of that time that is the engine's own work, in milliseconds, for logs.
     pub work_ms: f64,
-    /// How long the request was held before, for logs.
+    /// How long the request was queued here before, for logs.
     pub wait: Wait,
     /// The engine from which the prompt is fetched, for logs.
     pub source: Option<Arc<str>>,
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Sends a request and returns the head of its answer with the body still to come.
+    /// Sends a request and returns the head of its answer; the body is yet to be read.
     ///
-    /// An answer that does not echo the request's id belongs to another request: a second answer
-    /// that comes late on a kept connection stands where this one's is expected.
+    /// An answer that does not echo the request's id belongs to another request: on a reused connection, a
+    /// late second answer to an earlier request can arrive in place of the expected one.
     pub(super) async fn send(
         &self,
         exchange: &Exchange,
         sending: Sending<'_>,
     ) -> Result<Response, Failed> {
-        // An instance that was held up, by its share of the processor or by a suspension, takes up an
-        // answer that came long ago before it sees that the caller's time is over.
+        // An instance that was delayed, by CPU throttling or by a suspension, may process an answer that
+        // arrived long ago before it notices that the caller's deadline has passed.
         if exchange.has_lost_its_caller(self.now()) {
             let failed = Failed::not_sent("caller_out_of_time");
             self.log_failed(exchange, sending.upstream, sending.stage, &failed);
             return Err(failed);
         }
-        // By what is believed now: an answer to another request may have told of the upstream since it was
-        // chosen.
+        // Checks the current state again: an answer to another request may have changed what is known of
+        // the upstream since it was chosen.
         if !self.fleet().takes_work(&sending.upstream.entry.id, self.now()) {
             let failed = Failed::not_sent("takes_no_work");
             self.log_failed(exchange, sending.upstream, sending.stage, &failed);
             return Err(failed);
         }
         self.log_placed(exchange, &sending);
-        self.log_taken(exchange);
+        self.log_acceptance(exchange);
         let result = self.send_unlogged(exchange, &sending).await;
         let (state, now) = (&sending.upstream.state, self.now());
         match &result {
-            // An engine that fails each request at once seems idle, and would draw ever more of them.
+            // An engine that fails every request at once looks idle and would attract more and more requests.
             Ok(answer) if answer.status().is_server_error() && sending.role.is_some() => {
                 state.ejection().record_failure(now);
                 self.note_error(sending.upstream, self.peers().number(), true);
@@ -187,7 +187,7 @@
                     state.ejection().record_failure(now);
                 }
                 if failed.contact == Contact::Refused {
-                    self.note_closed(exchange, sending.upstream);
+                    self.record_refused_connection(exchange, sending.upstream);
                 }
                 self.log_failed(exchange, sending.upstream, sending.stage, failed);
             }
@@ -197,7 +197,7 @@
 
     fn log_placed(&self, exchange: &Exchange, sending: &Sending<'_>) {
         let now = self.now();
-        let age = |belief| self.inner.metrics.source_age(belief, now).map(|age| age.0);
+        let age = |source| self.inner.metrics.source_age(source, now).map(|age| age.0);
         emit(&Event::Placed {
             request: &exchange.id,
             upstream: &sending.upstream.entry.id,
@@ -242,19 +242,19 @@
             sending.head_timeout.min(exchange.time_left(self.now())),
         );
         let answer = sent.await?;
-        self.hear(sending.upstream, &exchange.id, answer.status(), answer.headers());
+        self.record_response(sending.upstream, &exchange.id, answer.status(), answer.headers());
         self.check(exchange, sending, answer)
     }
 
-    /// Notes what an upstream says of itself in the head of an answer.
-    pub(super) fn hear(
+    /// Records what an upstream reports about itself in the head of an answer.
+    pub(super) fn record_response(
         &self,
         upstream: &Upstream,
         request: &str,
         status: StatusCode,
         headers: &HeaderMap,
     ) {
-        // Another one may have got the address since. What it says is of itself.
+        // Another upstream may have got the address since; its answer is then about itself.
         let named = headers.get(&self.wire().headers().instance);
         let named = named.and_then(|id| id.to_str().ok()).filter(|id| **id != *upstream.entry.id);
         let view;
@@ -267,17 +267,18 @@
             }
         };
         let is_leaving = self.wire().says_leaving(headers);
-        let is_news = is_leaving && self.mark_leaving(upstream);
-        let pause = self.hear_pause(upstream, status, headers);
-        if is_news || pause.is_some() {
+        let is_new = is_leaving && self.mark_leaving(upstream);
+        let pause = self.record_pause(upstream, status, headers);
+        if is_new || pause.is_some() {
             let (upstream, status) = (&*upstream.entry.id, status.as_u16());
             let pause_ms = pause.map(|pause| pause.0);
             emit(&Event::UpstreamTold { upstream, request, status, is_leaving, pause_ms });
         }
     }
 
-    /// Takes in for how long an upstream wants nothing of this instance, and returns it if it is news.
-    fn hear_pause(
+    /// Records for how long an upstream asks this instance to send nothing. Returns that time if it changes
+    /// the known state.
+    fn record_pause(
         &self,
         upstream: &Upstream,
         status: StatusCode,
@@ -295,14 +296,14 @@
         }
     }
 
-    /// Notes that an upstream has told this instance that it leaves, and has the others told. Returns whether
-    /// that is news.
+    /// Records that an upstream has announced to this instance that it leaves, and publishes it to peers.
+    /// Returns whether that is new.
     fn mark_leaving(&self, upstream: &Upstream) -> bool {
-        let is_news = upstream.state.mark_leaving(true, self.now());
-        if is_news {
+        let is_new = upstream.state.mark_leaving(true, self.now());
+        if is_new {
             self.peers().announce();
         }
-        is_news
+        is_new
     }
 
     fn request_for(&self, exchange: &Exchange, sending: &Sending<'_>) -> Request<Body> {
@@ -357,13 +358,13 @@
                 let (upstream, request) = (&*upstream.entry.id, &*exchange.id);
                 emit(&Event::UpstreamGone { upstream, request });
             } else {
-                self.note_wrong_role(exchange, sending);
+                self.record_wrong_role(exchange, sending);
             }
             return Err(Failed::refusal("misdirected"));
         }
         if headers.contains_key(&names.not_run) {
-            // An engine with free places refuses because it changes its role, which the list does
-            // not show yet. More requests would spend the retry budget there.
+            // An engine with free slots refuses because it changes its role, which the instance list
+            // does not show yet. Further requests to it would only use up the retry budget.
             let now = self.now();
             let has_source = sending.source.is_some();
             if upstream.entry.role.is_some()
@@ -380,8 +381,8 @@
         Ok(answer)
     }
 
-    /// Notes that an engine refuses a request because of its role: it has the other one.
-    fn note_wrong_role(&self, exchange: &Exchange, sending: &Sending<'_>) {
+    /// Records that an engine has the other role, as it refused a request because of its role.
+    fn record_wrong_role(&self, exchange: &Exchange, sending: &Sending<'_>) {
         let upstream = sending.upstream;
         let role = match sending.role {
             Some(Role::Prefill) => Role::Decode,
@@ -398,7 +399,7 @@
         emit(&Event::RoleShown { upstream, role, request: Some(request) });
     }
 
-    /// Collects an answer whole. Only a signed one, or a signed failure, is passed on.
+    /// Collects a whole answer. Only signed answers are forwarded, failures included.
     pub(super) async fn collect(
         &self,
         exchange: &Exchange,
@@ -414,7 +415,7 @@
         Ok(WholeAnswer { status: parts.status, headers, body })
     }
 
-    /// Collects a body whole within the time that the caller has.
+    /// Collects a whole body within the time that is left to the caller.
     pub(super) async fn collect_body(
         &self,
         exchange: &Exchange,
@@ -422,29 +423,29 @@
     ) -> Result<bytes::Bytes, Failed> {
         let collected = collect_body(body, MAX_ANSWER_BYTES, exchange.time_left(self.now()));
         collected.await.map_err(|err| match err.timed_out {
-            true => Failed::silent("answer_late"),
+            true => Failed::timed_out("answer_late"),
             false => Failed::broken("answer_cut"),
         })
     }
 
-    /// Counts an attempt in. Returns how, `None` if the budget forbids it. `has_sent` is whether the
-    /// request has made such a call before: one to read its prompt, or one to be answered.
+    /// Admits an attempt. Returns how it counts against the budget, or `None` if the budget is used up.
+    /// `has_sent` is whether the request has made a call of this kind before: one that reads its prompt, or
+    /// one that answers it.
     ///
-    /// Every arrival after the first counts against the budget, also one that the upstream refuses;
-    /// otherwise retries would multiply an overload.
-    pub(super) fn may_send(&self, service: &Arc<str>, has_sent: &mut bool) -> Option<Arrival> {
+    /// Every arrival after the first counts against the budget, even if the upstream refuses it; otherwise
+    /// retries would multiply an overload.
+    pub(super) fn admit_attempt(&self, service: &Arc<str>, has_sent: &mut bool) -> Option<Arrival> {
         if !std::mem::replace(has_sent, true) {
             return Some(Arrival::First);
         }
         self.try_take_extra(service).then_some(Arrival::Extra)
     }
 
-    /// Takes an attempt back that reached no upstream.
+    /// Refunds an attempt that reached no upstream.
     ///
-    /// What never arrived is no load that a retry adds to. Counted, the refused connections of engines
-    /// that crash together would spend the budget, and requests that other engines could serve would be
-    /// refused for want of it.
-    pub(super) fn take_back(
+    /// Such an attempt adds no load. If it counted, the refused connections of engines that crash together
+    /// would use up the budget, and requests that other engines could serve would be refused.
+    pub(super) fn refund_attempt(
         &self,
         service: &Arc<str>,
         has_sent: &mut bool,
@@ -454,33 +455,33 @@
         match arrival {
             _ if failed.contact == Contact::Made => {}
             Arrival::First => *has_sent = false,
-            Arrival::Extra => self.give_back_extra(service),
+            Arrival::Extra => self.refund_extra(service),
         }
     }
 
-    /// Notes that an instance has got an engine's error. Once several have, all eject the engine for a
-    /// while, unless too many are ejected already.
+    /// Records that an instance has received an error from an engine. Once several instances have, all of
+    /// them eject the engine for a while, unless too many engines are ejected already.
     pub fn note_error(&self, upstream: &Upstream, instance: u64, is_own: bool) {
         let now = self.now();
-        let Some(alone) = upstream.state.record_error(instance, is_own, now) else { return };
+        let Some(pause) = upstream.state.record_error(instance, is_own, now) else { return };
         let view = self.fleet().view();
         let all = view.of_service(&upstream.entry.service);
         let ejected = all.iter().filter(|one| !one.state.is_healthy(now)).count();
         if !may_eject(all.len(), ejected) {
             return;
         }
-        // Others that have heard the same reports tell it too.
-        self.leave_alone(upstream, alone, "");
+        // Peers that have received the same reports publish the ejection too.
+        self.close_upstream(upstream, pause, "");
     }
 
-    /// Notes that an upstream's host refuses connections, and has the others told.
-    fn note_closed(&self, exchange: &Exchange, upstream: &Upstream) {
-        self.leave_alone(upstream, CLOSED_PAUSE, &exchange.id);
+    /// Records that an upstream's host refuses connections, and publishes it to peers.
+    fn record_refused_connection(&self, exchange: &Exchange, upstream: &Upstream) {
+        self.close_upstream(upstream, CLOSED_PAUSE, &exchange.id);
     }
 
-    /// Sends nothing to an upstream for a while, and has the others told. `request` is the id of the
-    /// request that showed why, empty if none alone did.
-    fn leave_alone(&self, upstream: &Upstream, pause: Millis, request: &str) {
+    /// Marks an upstream as unused for a while, and publishes it to peers. `request` is the id of the request
+    /// that caused it, empty if it was not a single request.
+    fn close_upstream(&self, upstream: &Upstream, pause: Millis, request: &str) {
         if upstream.state.mark_closed(self.now() + pause, true) {
             self.peers().announce();
             let upstream = &*upstream.entry.id;
@@ -489,16 +490,16 @@
     }
 }
 
-/// `Arrival` is how an attempt counts against the budget.
+/// `Arrival` is the way in which an attempt counts against the budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Arrival {
-    /// Not at all: it is the request's first.
+    /// It is the request's first attempt and does not count.
     First,
-    /// As an extra one.
+    /// It counts as an extra arrival.
     Extra,
 }
 
-/// Returns the headers of an upstream's answer that are passed on.
+/// Returns the headers of an upstream's answer that are forwarded.
 pub(super) fn passed_on(headers: &HeaderMap) -> HeaderMap {
     end_to_end(headers, &[])
 }
--- a/crates/anvilhook-gateway/src/relay/bodies.rs
+++ b/crates/anvilhook-gateway/src/relay/bodies.rs
@@ -1,8 +1,8 @@
-//! Bytes of answers that count their request in until their connection has written them.
+//! Response bytes that count their request as in flight until the connection has written them.
 
 use bytes::Bytes;
 
-/// `Counted` is a part of an answer, with what counts its request in.
+/// `Counted` is a part of a response, together with the guard that counts its request as in flight.
 struct Counted<F> {
     bytes: Bytes,
     _flight: F,
@@ -14,11 +14,11 @@
     }
 }
 
-/// Returns bytes that keep `flight` until they are dropped.
+/// Returns bytes that retain `flight` until they are dropped.
 ///
-/// A connection keeps what its caller is slow to read, up to some hundred kilobytes, and drops it once it
-/// is written. If the request were over as soon as its last bytes lie there, an instance that stops would
-/// find nothing in flight and end, and the caller would get all but the end of the answer.
+/// A connection buffers up to a few hundred kilobytes for a caller that reads slowly, and drops them once
+/// they are written. If the request ended as soon as its last bytes are buffered, an instance that stops
+/// would find nothing in flight and exit, and the caller would miss the end of the answer.
 pub(super) fn counted<F: Send + 'static>(bytes: Bytes, flight: F) -> Bytes {
     Bytes::from_owner(Counted { bytes, _flight: flight })
 }
--- a/crates/anvilhook-gateway/src/relay/examining.rs
+++ b/crates/anvilhook-gateway/src/relay/examining.rs
@@ -1,4 +1,4 @@
-//! Looking at an engine whose runs broke off: whether it has ended, and under which requests.
+//! Examines an engine whose runs were interrupted: whether it has terminated, and during which requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,53 +11,54 @@
 
 use super::Gateway;
 use super::answers::Outcome;
-use super::attempts::{Ending, Failed};
+use super::attempts::{Failed, FailureSignal};
 use super::requests::Exchange;
 use crate::events::{Event, Evidence, emit};
 use crate::fleets::Upstream;
 use crate::suspects::Interruption;
 use crate::wires::Wire;
 
-/// The pause between two looks at an engine, and how long it is looked at in all. Its entry lapses well
-/// before that.
-const LOOK_PAUSE: Duration = Duration::from_millis(150);
-const LONGEST_LOOK: Millis = Millis(10_000);
+/// The pause between two checks of an engine, and the time limit for all of them. Its entry lapses well
+/// before that limit.
+const CHECK_PAUSE: Duration = Duration::from_millis(150);
+const MAX_EXAMINE_TIME: Millis = Millis(10_000);
 
-/// How long a connection may take.
+/// The timeout for establishing a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// The refusals of connections in a row by which an engine has ended. One that takes no more connections
-/// refuses some, and takes others as soon as a place is free.
+/// The number of consecutive refused connections that show that an engine has terminated. An engine whose
+/// connection queue is full refuses some connections, but accepts others as soon as it has room.
 const REFUSALS: u32 = 2;
 
-/// When a caller is to come back whose request is on trial.
+/// The retry time for a caller whose request is already on trial.
 const TRIAL_PAUSE: Millis = Millis(400);
 
-/// The reason of a final answer to a request under quarantine.
+/// The reason in the final answer to a quarantined request.
 const QUARANTINED: &str = "quarantined";
 
-/// The most requests that a line of the log names.
+/// The maximum number of requests that one log line names.
 const MAX_LOGGED: usize = 16;
 
-/// `Sign` is what a look at an engine showed.
-enum Sign {
-    /// It is there, in the same start.
+/// `Liveness` is the result of one check of an engine.
+enum Liveness {
+    /// The engine still runs and has not restarted.
     Alive,
     /// Its host refuses connections.
     Refused,
-    /// That start of it has ended.
+    /// The engine has terminated, or has restarted since.
     Ended(Evidence),
-    /// Nothing can be told.
+    /// The check was inconclusive.
     Unknown,
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Returns the answer of a request that is not to be sent now: its key was withdrawn, or it is under
-    /// quarantine, or suspected and on trial already.
+    /// Returns the answer for a request that must not be sent now: its key was withdrawn, it is quarantined,
+    /// or it is suspected and already on trial.
     ///
-    /// A suspect is tried at one engine at a time, and no more often than would quarantine it.
-    pub(super) fn withheld(&self, exchange: &mut Exchange) -> Option<Outcome> {
-        if let Some(denied) = self.denied(exchange) {
+    /// A suspected request runs on one engine at a time, and at most as many times as it takes to quarantine
+    /// it.
+    pub(super) fn check_quarantine(&self, exchange: &mut Exchange) -> Option<Outcome> {
+        if let Some(denied) = self.check_access(exchange) {
             return Some(denied);
         }
         let (request, now) = (exchange.fingerprint, self.now());
@@ -65,7 +66,7 @@
             (SuspectStatus::Clear, _) => None,
             (SuspectStatus::Quarantined, _) => {
                 self.suspects().record_arrival(request, now);
-                // A refusal would invite the same request back.
+                // A refusal would invite the caller to send the same request again.
                 Some(match exchange.may_have_run {
                     true => Outcome::may_have_run(QUARANTINED),
                     false => Outcome::failed(StatusCode::BAD_REQUEST, QUARANTINED),
@@ -76,24 +77,24 @@
                     exchange.trial = self.suspects().begin_trial(request, now);
                 }
                 let may_try = exchange.trial.is_some() && left > 0;
-                (!may_try).then(|| self.given_up(exchange, "on_trial", TRIAL_PAUSE))
+                (!may_try).then(|| self.abandoned(exchange, "on_trial", TRIAL_PAUSE))
             }
         }
     }
 
-    /// Notes how an attempt failed at an engine, and looks at the engine if it may have ended.
-    pub(super) fn note_ending(
+    /// Records how an attempt at an engine failed, and examines the engine if it may have terminated.
+    pub(super) fn record_failure_signal(
         &self,
         exchange: &Exchange,
         upstream: &Arc<Upstream>,
         failed: &Failed,
     ) {
-        let how = match failed.ending {
-            Ending::Broken => Interruption::Broken,
-            Ending::Silent => Interruption::Silent,
-            Ending::Unharmed => return,
+        let how = match failed.signal {
+            FailureSignal::Broken => Interruption::Broken,
+            FailureSignal::TimedOut => Interruption::Silent,
+            FailureSignal::None => return,
         };
-        // The end of one that leaves is its own.
+        // An engine that leaves terminates on its own account, not because of a request.
         if upstream.is_leaving() {
             return;
         }
@@ -103,94 +104,100 @@
         }
     }
 
-    /// Notes that a request's run has ended well.
-    pub(super) fn note_well(&self, exchange: &Exchange) {
+    /// Records that a run of a request has completed successfully.
+    pub(super) fn record_completed_run(&self, exchange: &Exchange) {
         self.suspects().record_success(exchange.fingerprint, self.now());
     }
 
-    /// Looks at an engine until it is known whether it has ended.
+    /// Checks an engine repeatedly until it is known whether it has terminated.
     async fn examine(&self, upstream: &Arc<Upstream>) {
-        let until = self.now() + LONGEST_LOOK;
+        let until = self.now() + MAX_EXAMINE_TIME;
         let mut refusals = 0;
         loop {
-            match self.sign_of(upstream).await {
-                Sign::Ended(evidence) => return self.confirm_end(upstream, evidence),
-                Sign::Refused if refusals + 1 >= REFUSALS => {
+            match self.check_liveness(upstream).await {
+                Liveness::Ended(evidence) => return self.confirm_end(upstream, evidence),
+                Liveness::Refused if refusals + 1 >= REFUSALS => {
                     return self.confirm_end(upstream, Evidence::Refused);
                 }
-                Sign::Refused => refusals += 1,
-                Sign::Unknown if self.now() < until => refusals = 0,
-                Sign::Alive | Sign::Unknown => return self.suspects().dismiss(upstream.digest),
+                Liveness::Refused => refusals += 1,
+                Liveness::Unknown if self.now() < until => refusals = 0,
+                Liveness::Alive | Liveness::Unknown => {
+                    return self.suspects().dismiss(upstream.digest);
+                }
             }
-            tokio::time::sleep(LOOK_PAUSE).await;
+            tokio::time::sleep(CHECK_PAUSE).await;
         }
     }
 
-    async fn sign_of(&self, upstream: &Upstream) -> Sign {
+    async fn check_liveness(&self, upstream: &Upstream) -> Liveness {
         let connected = TcpStream::connect(upstream.entry.address);
         match tokio::time::timeout(CONNECT_TIMEOUT, connected).await {
-            Ok(Ok(_)) if upstream.entry.role.is_none() => return self.listed_sign(upstream),
+            Ok(Ok(_)) if upstream.entry.role.is_none() => return self.liveness_by_entry(upstream),
             Ok(Ok(_)) => {}
             Ok(Err(err)) if err.kind() == std::io::ErrorKind::ConnectionRefused => {
-                return match self.listed_sign(upstream) {
-                    Sign::Alive => Sign::Refused,
-                    sign => sign,
+                return match self.liveness_by_entry(upstream) {
+                    Liveness::Alive => Liveness::Refused,
+                    other => other,
                 };
             }
-            Ok(Err(_)) | Err(_) => return self.absent_sign(upstream),
+            Ok(Err(_)) | Err(_) => return self.liveness_without_answer(upstream),
         }
         let Some(answer) = self.own_call(upstream, &self.wire().report()).await else {
-            return self.absent_sign(upstream);
+            return self.liveness_without_answer(upstream);
         };
         let report = self.wire().engine_report(&answer.body);
         let is_other = answer.status == StatusCode::MISDIRECTED_REQUEST
             || report.is_ok_and(|report| upstream.entry.has_other_start(report.born));
-        if is_other { Sign::Ended(Evidence::Restarted) } else { self.listed_sign(upstream) }
+        if is_other {
+            Liveness::Ended(Evidence::Restarted)
+        } else {
+            self.liveness_by_entry(upstream)
+        }
     }
 
-    /// Returns what the list tells of an engine that takes connections.
-    fn listed_sign(&self, upstream: &Upstream) -> Sign {
+    /// Returns what the instance list shows of an engine that accepts connections.
+    fn liveness_by_entry(&self, upstream: &Upstream) -> Liveness {
         match self.has_started_again(upstream) {
-            true => Sign::Ended(Evidence::Restarted),
-            false => Sign::Alive,
+            true => Liveness::Ended(Evidence::Restarted),
+            false => Liveness::Alive,
         }
     }
 
-    /// Returns what the list tells of an engine that doesn't answer. A frozen one's entry goes too; but its
-    /// connections don't break.
-    fn absent_sign(&self, upstream: &Upstream) -> Sign {
+    /// Returns what the instance list shows of an engine that does not answer. The entry of a frozen engine
+    /// is removed as well, but its connections do not break.
+    fn liveness_without_answer(&self, upstream: &Upstream) -> Liveness {
         let is_listed = self.fleet().view().get(&upstream.entry.id).is_some();
         let is_removed = !is_listed && self.suspects().has_broken(upstream.digest);
-        match self.listed_sign(upstream) {
-            Sign::Alive if is_removed => Sign::Ended(Evidence::Removed),
-            Sign::Alive => Sign::Unknown,
-            sign => sign,
+        match self.liveness_by_entry(upstream) {
+            Liveness::Alive if is_removed => Liveness::Ended(Evidence::Removed),
+            Liveness::Alive => Liveness::Unknown,
+            other => other,
         }
     }
 
-    /// Notes that an engine has ended under all that ran there, and has the others told.
+    /// Records that an engine has terminated while it ran requests, and publishes it to peers.
     fn confirm_end(&self, upstream: &Upstream, evidence: Evidence) {
         let (suspects, now) = (self.suspects(), self.now());
         if upstream.is_leaving() {
             return suspects.dismiss(upstream.digest);
         }
-        let weighed = suspects.confirm_end(upstream.digest, now);
+        let outcomes = suspects.confirm_end(upstream.digest, now);
         self.peers().announce();
-        let counted = weighed.iter().filter(|(_, weighed)| *weighed != EndOutcome::Ignored);
+        let counted = outcomes.iter().filter(|(_, outcome)| *outcome != EndOutcome::Ignored);
         emit(&Event::EngineEnded {
             upstream: &upstream.entry.id,
             incarnation: upstream.digest,
             evidence,
-            runs: weighed.len(),
+            runs: outcomes.len(),
             suspects: counted.map(|(request, _)| *request).take(MAX_LOGGED).collect(),
         });
         self.metrics().record_end(evidence);
-        for (request, _) in weighed.iter().filter(|(_, one)| *one == EndOutcome::Quarantined) {
+        for (request, _) in outcomes.iter().filter(|(_, one)| *one == EndOutcome::Quarantined) {
             self.log_quarantine(*request, "own");
         }
     }
 
-    /// Logs that a request is under quarantine now, with what speaks against it.
+    /// Logs that a request is now quarantined, with the engine ends that count against it.
     pub(crate) fn log_quarantine(&self, request: Fingerprint, source: &'static str) {
         let now = self.now();
         let ends = self.suspects().ends(request, now);
--- a/crates/anvilhook-gateway/src/relay/generating.rs
+++ b/crates/anvilhook-gateway/src/relay/generating.rs
@@ -1,4 +1,4 @@
-//! Having an engine generate the output of a prompt, as a stream.
+//! Sends a request to an engine that generates the output as a stream.
 
 use std::sync::Arc;
 
@@ -20,11 +20,11 @@
 use crate::placements::Generator;
 use crate::wires::Wire;
 
-/// How often an engine is asked whether it still works on a stream that has not begun and could be
-/// sent again.
-const FIRST_EVENT_PATIENCE: Millis = Millis(1_800);
+/// The interval at which an engine is asked whether it still works on a request whose stream has not begun
+/// and which could be resent.
+const FIRST_EVENT_CHECK_INTERVAL: Millis = Millis(1_800);
 
-/// `GenerateWork` is what generating asks of an engine before the first event.
+/// `GenerateWork` is the predicted work of an engine until the first event, with the data that is logged.
 #[derive(Clone, Debug)]
 struct GenerateWork {
     wait: Wait,
@@ -35,7 +35,7 @@
 }
 
 impl GenerateWork {
-    /// The work at an upstream that is no model engine.
+    /// The work of an upstream that is not a model engine.
     const NONE: GenerateWork = GenerateWork {
         wait: Wait::NONE,
         reading_ms: 0.0,
@@ -46,7 +46,7 @@
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Has an engine generate the output, from a handle if there is one.
+    /// Sends a request to the engine that generates the output, with a KV handle if there is one.
     pub(super) async fn generate(
         &self,
         exchange: &mut Exchange,
@@ -71,9 +71,9 @@
                 source: None,
             },
         };
-        // All streams have the same rank at an engine. A more urgent one would take the place of one
-        // that runs, whose prompt the engine would then read again at half its speed while all its
-        // other streams stand still.
+        // All streams have the same priority at an engine. A more urgent one would preempt a running
+        // stream, whose prompt the engine would then read again (prefill) at half its speed while all its
+        // other streams stall.
         let mut extra = Vec::new();
         if let Some(handle) = &handle {
             extra.push((self.wire().headers().kv_source.clone(), handle.source()));
@@ -87,7 +87,7 @@
                 engine.state.record_handle(!is_refused, self.now());
             }
             if is_refused {
-                // Either engine may be the cause, so the next try goes to two others.
+                // Either engine may be the cause, so the next attempt avoids both.
                 job.avoid.push(Arc::clone(&reader.entry.id));
             }
             if opened.is_ok() {
@@ -101,7 +101,7 @@
         Ok(opened)
     }
 
-    /// Opens a stream of a service whose upstreams are no model engines.
+    /// Opens a stream of a service whose upstreams are not model engines.
     pub(super) async fn stream_plainly(
         &self,
         exchange: &mut Exchange,
@@ -115,11 +115,10 @@
         self.open_at(exchange, &upstream, GenerateWork::NONE, Vec::new(), resume_after).await
     }
 
-    /// Waits until an engine does not work on a request any more that was sent to it, and has not
-    /// answered it.
-    async fn lost(&self, exchange: &Exchange, upstream: &Upstream) {
+    /// Waits until an engine no longer works on a request that it has not answered.
+    async fn wait_until_lost(&self, exchange: &Exchange, upstream: &Upstream) {
         loop {
-            tokio::time::sleep(FIRST_EVENT_PATIENCE.as_duration()).await;
+            tokio::time::sleep(FIRST_EVENT_CHECK_INTERVAL.as_duration()).await;
             if !self.is_worked_on(exchange, upstream).await {
                 return;
             }
@@ -135,11 +134,11 @@
         mut extra: Vec<(HeaderName, HeaderValue)>,
         resume_after: Option<u64>,
     ) -> Tried<Opened> {
-        if let Some(withheld) = self.withheld(exchange) {
-            return Err(withheld);
+        if let Some(refusal) = self.check_quarantine(exchange) {
+            return Err(refusal);
         }
-        let Some(arrival) = self.may_send(&exchange.service, &mut exchange.was_sent) else {
-            return Err(self.given_up(exchange, "retry_budget", REFUSED_PAUSE));
+        let Some(arrival) = self.admit_attempt(&exchange.service, &mut exchange.was_sent) else {
+            return Err(self.abandoned(exchange, "retry_budget", REFUSED_PAUSE));
         };
         if let Some(event) = resume_after {
             extra.push((self.wire().headers().last_event_id.clone(), HeaderValue::from(event)));
@@ -169,8 +168,8 @@
         };
         let sent = tokio::select! {
             sent = self.send(exchange, sending) => sent,
-            () = self.lost(exchange, upstream), if can_repeat => {
-                let failed = Failed::silent("no_answer_in_time");
+            () = self.wait_until_lost(exchange, upstream), if can_repeat => {
+                let failed = Failed::timed_out("no_answer_in_time");
                 upstream.state.ejection().record_failure(self.now());
                 self.log_failed(exchange, upstream, "generate", &failed);
                 Err(failed)
@@ -191,8 +190,8 @@
             self.count_usage(exchange, self.now());
         }
         if let Err(failed) = &result {
-            self.note_ending(exchange, upstream, failed);
-            self.take_back(&exchange.service, &mut exchange.was_sent, arrival, failed);
+            self.record_failure_signal(exchange, upstream, failed);
+            self.refund_attempt(&exchange.service, &mut exchange.was_sent, arrival, failed);
         }
         Ok(result)
     }
--- a/crates/anvilhook-gateway/src/relay/handles.rs
+++ b/crates/anvilhook-gateway/src/relay/handles.rs
@@ -1,4 +1,5 @@
-//! KV handles: what an engine keeps of a prompt that it has read.
+//! KV handles, which refer to the KV cache that an engine retains of a prompt, and the gateway's own calls
+//! to upstreams.
 
 use std::sync::Arc;
 
@@ -13,12 +14,12 @@
 use crate::prompts::Part;
 use crate::wires::{Call, Wire};
 
-/// How long a call of the gateway's own may take.
+/// The timeout for a call that the gateway itself makes.
 const OWN_CALL_TIMEOUT: Millis = Millis(1_000);
 
-/// `KvHandle` frees the KV cache at its engine unless it was used.
+/// `KvHandle` frees the KV cache at its engine when it is dropped, unless it was used.
 ///
-/// A handle that nobody takes keeps its memory from other requests until it lapses.
+/// An unused handle would block the engine's memory for other requests until it expires.
 pub(super) struct KvHandle<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     upstream: Arc<Upstream>,
@@ -31,17 +32,17 @@
         Self { gateway, upstream, handle, is_used: false }
     }
 
-    /// Returns the engine that has it.
+    /// Returns the engine that retains the KV cache.
     pub fn upstream(&self) -> &Arc<Upstream> {
         &self.upstream
     }
 
-    /// Returns the header's value that has another engine fetch it.
+    /// Returns the header value by which another engine fetches the KV cache.
     pub fn source(&self) -> HeaderValue {
         self.gateway.wire().kv_source(self.upstream.entry.address, &self.handle)
     }
 
-    /// Notes that an engine has taken it.
+    /// Records that another engine has fetched the KV cache.
     pub fn mark_used(&mut self) {
         self.is_used = true;
     }
@@ -60,14 +61,14 @@
     }
 }
 
-/// `OwnCallAnswer` is an upstream's answer to a call of the gateway's own.
+/// `OwnCallAnswer` is an upstream's answer to a call that the gateway itself made.
 pub(crate) struct OwnCallAnswer {
     pub status: http::StatusCode,
     pub body: bytes::Bytes,
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Asks an engine what its cache holds, and returns the parts of which the peers are told.
+    /// Queries an engine for the content of its cache and returns the parts that are published to peers.
     pub(crate) async fn read_cache(&self, upstream: &Upstream) -> Vec<Part> {
         let answer = self.own_call(upstream, &self.wire().cache_list()).await;
         let parts = answer.and_then(|answer| self.wire().cached_parts(&answer.body).ok());
@@ -76,7 +77,7 @@
         parts
     }
 
-    /// Notes what an engine's cache holds, and has the peers told of it.
+    /// Records the content of an engine's cache and publishes it to peers.
     pub(crate) fn record_parts(&self, upstream: &Upstream, parts: &[Part]) {
         let config = self.config();
         let spec = config.as_ref().and_then(|config| config.service(&upstream.entry.service));
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Makes a call of the gateway's own to an upstream. `None` if no whole answer came, or the upstream
-    /// wants nothing.
+    /// Calls an upstream on the gateway's own behalf. Returns `None` if no complete answer arrived or if the
+    /// upstream has asked for a pause.
     pub(crate) async fn own_call(&self, upstream: &Upstream, call: &Call) -> Option<OwnCallAnswer> {
         upstream.state.paused_until(self.now()).is_none().then_some(())?;
         let mut headers = HeaderMap::new();
@@ -109,7 +110,7 @@
         let address = upstream.entry.address;
         let answer = client.send(address, req, Connection::New, OWN_CALL_TIMEOUT).await.ok()?;
         let status = answer.status();
-        self.hear(upstream, "", status, answer.headers());
+        self.record_response(upstream, "", status, answer.headers());
         let (_, body) = answer.into_parts();
         const MAX_BYTES: usize = 1 << 20;
         let body = anvilhook_http::clients::collect_body(body, MAX_BYTES, OWN_CALL_TIMEOUT);
--- a/crates/anvilhook-gateway/src/relay/mod.rs
+++ b/crates/anvilhook-gateway/src/relay/mod.rs
@@ -1,4 +1,5 @@
-//! The path of a request.
+//! The path of a request through the gateway: choosing an upstream, sending, checking the answer, retrying
+//! and resuming streams.
 
 mod access;
 mod answers;
@@ -48,27 +49,28 @@
 
 pub(crate) use prompts::MIN_PUBLISHED_TOKENS;
 
-/// When a caller is to come back whose request found no time to run.
+/// The retry time for a caller whose request timed out before it ran.
 const TIMEOUT_PAUSE: Millis = Millis(100);
 
-/// The belief that peers are the source of, as metrics name it.
+/// The name under which metrics show the age of the state received from peers.
 pub(crate) const PEER_SOURCE: &str = "peers";
 
-/// The most upstreams that one line of the log names.
+/// The maximum number of upstreams that one log line names.
 const MAX_LOGGED: usize = 16;
 
-/// `GatewayOptions` are the figures by which requests are served.
+/// `GatewayOptions` configures how requests are served.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
     /// The availability zone of this instance.
     pub zone: Arc<str>,
-    /// The budget for extra arrivals at the start.
+    /// The initial budget for extra arrivals.
     pub budget: BudgetOptions,
-    /// What engines are expected to need to read prompts, until it is learnt.
+    /// The expected cost of reading prompts (prefill), until it has been measured.
     pub expected_reading: ReadingCost,
-    /// The time of day by the machine's clock, as the gateway is made.
+    /// The wall-clock time of the machine when the gateway is created.
     pub started_at: WallTime,
-    /// The length of the windows by which the usage of client accounts is reported, if it is.
+    /// The length of the windows in which the usage of client accounts is reported; `None` if it is not
+    /// reported.
     pub usage_window: Option<Millis>,
 }
 
@@ -100,11 +102,11 @@
     peers: Arc<Peers>,
     suspects: Arc<Suspects>,
     usage: Usage,
-    /// Engines that have read a prompt since the peers were told last.
+    /// Engines that have read a prompt, with the parts not yet published to peers.
     cached: Mutex<Vec<(Arc<str>, Vec<Part>)>>,
 }
 
-/// Counts a request in until its answer's last byte has left the process.
+/// `Flight` counts a request as in flight until the last byte of its answer has left the process.
 struct Flight<W: Wire, C: Clock>(Gateway<W, C>);
 
 impl<W: Wire, C: Clock> Drop for Flight<W, C> {
@@ -113,8 +115,8 @@
     }
 }
 
-/// Logs a request whose caller leaves before its answer. The server drops all that was done for it,
-/// and nothing else would tell what became of the request.
+/// `DepartureWatch` logs a request whose caller leaves before it is answered. The server then drops the
+/// request's future, so nothing else would log its outcome.
 struct DepartureWatch<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     request: Arc<str>,
@@ -139,7 +141,7 @@
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Makes a gateway that knows no configuration and no upstreams.
+    /// Creates a gateway that has no configuration and no upstreams yet.
     pub fn new(wire: W, clock: C, client: HttpClient, options: GatewayOptions) -> Self {
         let usage = Usage::new(options.usage_window, options.started_at, clock.now());
         let inner = Inner {
@@ -164,7 +166,7 @@
         Self { inner: Arc::new(inner) }
     }
 
-    /// Returns how the deployment spells its messages.
+    /// Returns the message format of the deployment.
     pub fn wire(&self) -> &W {
         &self.inner.wire
     }
@@ -174,24 +176,24 @@
         &self.inner.fleet
     }
 
-    /// Returns how fast engines are believed to work, and on what.
+    /// Returns the estimated speeds and current work of the engines.
     pub fn speeds(&self) -> &Speeds {
         &self.inner.speeds
     }
 
-    /// Returns what the engines' caches are believed to hold.
+    /// Returns the estimated content of the engines' caches.
     pub fn caches(&self) -> &CacheIndex {
         &self.inner.caches
     }
 
-    /// Takes the first of what the peers have not been told of the engines' caches.
+    /// Removes and returns up to `most` of the oldest cache entries that are not yet published to peers.
     pub fn take_cached(&self, most: usize) -> Vec<(Arc<str>, Vec<Part>)> {
         let mut cached = self.inner.cached.lock().expect("no panic under this lock");
         let count = most.min(cached.len());
         cached.drain(..count).collect()
     }
 
-    /// Returns the configuration in force.
+    /// Returns the active configuration.
     pub fn config(&self) -> Option<Arc<Config>> {
         self.inner.config.load_full()
     }
@@ -201,17 +203,17 @@
         self.inner.in_flight.load(Ordering::Acquire)
     }
 
-    /// Returns whether new connections should come here.
+    /// Returns whether new connections should be directed to this instance.
     pub fn is_ready(&self) -> bool {
-        let knows = self.inner.config.load().is_some() && self.has_fleet();
-        knows && !self.is_stopping()
+        let is_configured = self.inner.config.load().is_some() && self.has_fleet();
+        is_configured && !self.is_stopping()
     }
 
     fn has_fleet(&self) -> bool {
         self.inner.has_fleet.load(Ordering::Acquire)
     }
 
-    /// Puts a configuration in force, unless a newer one is.
+    /// Activates a configuration, unless one of the same or a newer version is active.
     pub fn adopt_config(&self, config: Config) {
         let before = self.inner.config.load().as_ref().map(|config| config.version);
         if before.is_some_and(|before| before >= config.version) {
@@ -225,12 +227,12 @@
         emit(&Event::ConfigAdopted { version, before });
     }
 
-    /// Puts the listed upstreams in place of the earlier ones.
+    /// Replaces the upstreams by those of the upstream table.
     pub fn adopt_entries(&self, entries: impl IntoIterator<Item = Entry>) {
         let earlier = self.inner.fleet.replace(entries);
         let view = self.inner.fleet.view();
         self.inner.has_fleet.store(true, Ordering::Release);
-        // What has started again under its id holds nothing of before.
+        // An upstream that has restarted under its id has lost the content of its cache.
         let is_same = |engine: &str| {
             let (now, before) = (view.get(engine), earlier.get(engine));
             now.is_some_and(|now| {
@@ -248,13 +250,13 @@
         });
     }
 
-    /// Returns whether an upstream's id is listed with another start now.
+    /// Returns whether an upstream has restarted, according to its current entry.
     fn has_started_again(&self, upstream: &Upstream) -> bool {
         let view = self.fleet().view();
         view.get(&upstream.entry.id).is_some_and(|now| !now.entry.is_same_start(&upstream.entry))
     }
 
-    /// Returns what is counted.
+    /// Returns the metrics.
     pub fn metrics(&self) -> &GatewayMetrics {
         &self.inner.metrics
     }
@@ -264,12 +266,12 @@
         self.inner.metrics.text(self, self.now())
     }
 
-    /// Notes that the source of a belief has been heard.
-    pub fn record_contact(&self, belief: &'static str) {
-        self.inner.metrics.record_contact(belief, self.now());
+    /// Records that an update has been received from a source of cached state.
+    pub fn record_contact(&self, source: &'static str) {
+        self.inner.metrics.record_contact(source, self.now());
     }
 
-    /// Puts another budget for extra arrivals in force.
+    /// Replaces the budget for extra arrivals.
     pub fn set_budget(&self, options: BudgetOptions) {
         self.inner.budget.set_options(options);
     }
@@ -279,7 +281,7 @@
         &self.inner.peers
     }
 
-    /// Returns the requests under which engines have ended.
+    /// Returns the requests during which engines have terminated.
     pub fn suspects(&self) -> &Arc<Suspects> {
         &self.inner.suspects
     }
@@ -289,7 +291,7 @@
         &self.inner.usage
     }
 
-    /// Counts a request that has begun to run, once.
+    /// Counts a request that has begun to run in its client account's usage, at most once.
     fn count_usage(&self, exchange: &mut Exchange, began_at: Millis) {
         let Some(account) = &exchange.access.account else { return };
         if !std::mem::replace(&mut exchange.is_counted, true) {
@@ -298,8 +300,8 @@
         }
     }
 
-    /// Lifts a quarantine, here and at the other instances. Returns whether anything spoke against the
-    /// request.
+    /// Lifts a quarantine, here and at the other instances. Returns whether this instance has recorded any
+    /// engine end against the request.
     pub fn lift(&self, request: Fingerprint) -> bool {
         let is_known = self.suspects().lift(request, self.now());
         self.peers().announce();
@@ -312,13 +314,13 @@
         self.inner.budget.left(service, self.inner.peers.instances(), now)
     }
 
-    /// Takes one extra arrival out of a service's budget. Returns false if there is none.
+    /// Takes one extra arrival from a service's budget. Returns false if none is left.
     fn try_take_extra(&self, service: &Arc<str>) -> bool {
         self.inner.budget.try_take(service, self.inner.peers.instances(), self.now())
     }
 
-    /// Gives one extra arrival back to a service's budget.
-    fn give_back_extra(&self, service: &Arc<str>) {
+    /// Returns one extra arrival to a service's budget.
+    fn refund_extra(&self, service: &Arc<str>) {
         self.inner.budget.give_back(service, self.now());
     }
 
@@ -351,7 +353,7 @@
 
     async fn receive(&self, req: Request, arrived_at: Millis) -> Result<Exchange, OwnAnswer> {
         let stopped = || OwnAnswer::refused(STOPPING, Millis::ZERO);
-        if self.takes_none() {
+        if self.is_refusing() {
             return Err(stopped());
         }
         tokio::select! {
@@ -361,8 +363,8 @@
     }
 
     async fn serve(&self, exchange: &mut Exchange) -> Outcome {
-        if let Some(withheld) = self.withheld(exchange) {
-            return withheld;
+        if let Some(refusal) = self.check_quarantine(exchange) {
+            return refusal;
         }
         let limit = exchange.give_up_at - self.now();
         let serving = async {
@@ -371,18 +373,18 @@
                 Repeats::Stream { .. } => self.serve_prompt(exchange).await,
             }
         };
-        // Nothing is begun any more in the moment of the end.
+        // Once the instance's work ends, no new attempt may start, so the end is polled first.
         let served = tokio::select! {
             biased;
-            () = self.ended() => return self.given_up(exchange, STOPPING, Millis::ZERO),
+            () = self.ended() => return self.abandoned(exchange, STOPPING, Millis::ZERO),
             served = tokio::time::timeout(limit.as_duration(), serving) => served,
         };
-        // The attempt in progress was dropped, and its connection with it.
-        served.unwrap_or_else(|_elapsed| self.given_up(exchange, "timeout", TIMEOUT_PAUSE))
+        // The timeout has dropped the attempt in progress, together with its connection.
+        served.unwrap_or_else(|_elapsed| self.abandoned(exchange, "timeout", TIMEOUT_PAUSE))
     }
 
-    /// Returns the answer for a request that is given up: a refusal only if it has not run.
-    fn given_up(&self, exchange: &Exchange, cause: &'static str, pause: Millis) -> Outcome {
+    /// Returns the answer for a request that is abandoned: a refusal only if it has not run.
+    fn abandoned(&self, exchange: &Exchange, cause: &'static str, pause: Millis) -> Outcome {
         if !exchange.may_have_run {
             Outcome::refused(cause, pause)
         } else if exchange.time_left(self.now()) == Millis::ZERO {
@@ -392,17 +394,17 @@
         }
     }
 
-    /// Returns the answer for a request that no upstream takes. If all that could wish for a pause, it says
-    /// when the first of them takes requests again.
+    /// Returns the answer for a request that no upstream accepts. If all upstreams that could serve it have
+    /// asked for a pause, the answer names the time at which the first of them accepts requests again.
     fn no_upstream(&self, exchange: &Exchange, cause: &'static str, pause: Millis) -> Outcome {
         match self.soonest_pause(&exchange.service) {
-            Some(soonest) => self.given_up(exchange, "upstreams_paused", soonest),
-            None => self.given_up(exchange, cause, pause),
+            Some(soonest) => self.abandoned(exchange, "upstreams_paused", soonest),
+            None => self.abandoned(exchange, cause, pause),
         }
     }
 
-    /// Returns how long the first of a service's upstreams wishes for a pause, if any does and none that
-    /// answers requests takes work.
+    /// Returns the time until the first of a service's paused upstreams accepts requests again. Returns
+    /// `None` if none is paused or if any upstream that answers requests accepts work.
     fn soonest_pause(&self, service: &str) -> Option<Millis> {
         let (now, view) = (self.now(), self.fleet().view());
         let answering =
@@ -447,7 +449,7 @@
     }
 }
 
-/// Returns the upstreams of `view` that have started again since `earlier`, for logs.
+/// Returns the upstreams of `view` that have restarted since `earlier`, for logs.
 fn restarted_in<'v>(view: &'v FleetView, earlier: &FleetView) -> Vec<&'v str> {
     let again = view.all().filter(|upstream| {
         let before = earlier.get(&upstream.entry.id);
@@ -456,7 +458,7 @@
     again.map(|upstream| &*upstream.entry.id).take(MAX_LOGGED).collect()
 }
 
-/// Returns the upstreams of `view` that `other` lacks, for logs.
+/// Returns the upstreams of `view` that are missing in `other`, for logs.
 fn missing_in<'v>(other: &FleetView, view: &'v FleetView) -> Vec<&'v str> {
     let ids = view.all().map(|upstream| &*upstream.entry.id);
     ids.filter(|id| other.get(id).is_none()).take(MAX_LOGGED).collect()
--- a/crates/anvilhook-gateway/src/relay/plain.rs
+++ b/crates/anvilhook-gateway/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Requests to plain services.
+//! Serves requests to plain services, whose upstreams are not model engines.
 
 use std::sync::Arc;
 
@@ -19,20 +19,20 @@
 use crate::placements::suspect_rank;
 use crate::wires::Wire;
 
-/// What another availability zone costs against requests in flight.
+/// The cost of an upstream in another availability zone, in requests in flight.
 const FAR_COST: f64 = 4.0;
 
-/// What a request that would have to wait costs against one that runs at once.
+/// The additional cost of a request that would be queued, in requests in flight.
 const QUEUED_COST: f64 = 3.0;
 
-/// The most sendings of one request, refusals included.
-const MAX_SENDINGS: usize = 3;
+/// The maximum number of times that one request is sent, refusals included.
+const MAX_SENDS: usize = 3;
 
-/// When a caller is to come back if no upstream took its request.
+/// The retry time for a caller whose request no upstream accepted.
 const REFUSED_PAUSE: Millis = Millis(150);
 
-/// How many times its objective an upstream is given before another one is tried.
-const PATIENCE: u64 = 4;
+/// The timeout of an attempt that may be repeated on another upstream, as a multiple of the objective.
+const EARLY_TIMEOUT_FACTOR: u64 = 4;
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
     pub(super) async fn serve_plain(&self, exchange: &mut Exchange) -> Outcome {
@@ -40,22 +40,23 @@
         let mut avoid: Vec<Arc<str>> = Vec::new();
         let mut last_answer: Option<WholeAnswer> = None;
         let (mut last_cause, mut pause) = ("no_upstream", REFUSED_PAUSE);
-        while avoid.len() < MAX_SENDINGS {
+        while avoid.len() < MAX_SENDS {
             if let Some(config) = self.config() {
                 exchange.refresh(&config);
             }
             if exchange.runs >= exchange.route.max_attempts {
                 break;
             }
-            if self.may_be_cut(exchange) {
+            if self.may_be_interrupted(exchange) {
                 (last_cause, pause) = (STOPPING, Millis::ZERO);
                 break;
             }
-            if let Some(withheld) = self.withheld(exchange) {
-                return last_answer.map_or(withheld, Outcome::Whole);
+            if let Some(refusal) = self.check_quarantine(exchange) {
+                return last_answer.map_or(refusal, Outcome::Whole);
             }
             let Some(upstream) = self.choose_plain(exchange, &avoid) else { break };
-            let Some(arrival) = self.may_send(&exchange.service, &mut exchange.was_sent) else {
+            let Some(arrival) = self.admit_attempt(&exchange.service, &mut exchange.was_sent)
+            else {
                 last_cause = "retry_budget";
                 break;
             };
@@ -66,7 +67,12 @@
                 }
                 Ok(answer) => return Outcome::Whole(answer),
                 Err(failed) => {
-                    self.take_back(&exchange.service, &mut exchange.was_sent, arrival, &failed);
+                    self.refund_attempt(
+                        &exchange.service,
+                        &mut exchange.was_sent,
+                        arrival,
+                        &failed,
+                    );
                     last_cause = failed.cause;
                     if failed.verdict != Verdict::NotRun && !self.may_repeat(exchange) {
                         break;
@@ -76,7 +82,7 @@
         }
         match last_answer {
             Some(answer) => Outcome::Whole(answer),
-            None if last_cause == STOPPING => self.given_up(exchange, last_cause, pause),
+            None if last_cause == STOPPING => self.abandoned(exchange, last_cause, pause),
             None => self.no_upstream(exchange, last_cause, pause),
         }
     }
@@ -94,11 +100,11 @@
         let is_last =
             !self.may_repeat(exchange) || exchange.runs + 1 >= exchange.route.max_attempts;
         let time_left = exchange.time_left(self.now());
-        // Only what may be repeated is given up early, so that another upstream has time for it.
-        let patient = (exchange.route.objective * PATIENCE).min(Millis(time_left.0 / 2));
-        let head_timeout = if is_last { time_left } else { patient };
-        // A kept connection may have been closed by the upstream, which shows only after the
-        // request was written; what runs at most once would be lost with it.
+        // Only a request that may be repeated times out early, so that another upstream has time for it.
+        let early = (exchange.route.objective * EARLY_TIMEOUT_FACTOR).min(Millis(time_left.0 / 2));
+        let head_timeout = if is_last { time_left } else { early };
+        // The upstream may have closed a pooled connection, which is noticed only after the request was
+        // written. A request that runs at most once could then not be sent again.
         let connection = if exchange.route.repeats == Repeats::AtMostOnce || exchange.runs > 0 {
             Connection::New
         } else {
@@ -137,15 +143,15 @@
         }
         drop(held);
         match &result {
-            Ok(answer) if answer.status.is_success() => self.note_well(exchange),
+            Ok(answer) if answer.status.is_success() => self.record_completed_run(exchange),
             Ok(_) => {}
-            Err(failed) => self.note_ending(exchange, upstream, failed),
+            Err(failed) => self.record_failure_signal(exchange, upstream, failed),
         }
         result
     }
 
-    /// Chooses by what is believed right now, so that an upstream that has begun to leave during
-    /// an earlier attempt gets nothing.
+    /// Chooses an upstream by the current state, so that one that began to leave during an earlier attempt
+    /// is not chosen.
     pub(super) fn choose_plain(
         &self,
         exchange: &Exchange,
@@ -153,19 +159,19 @@
     ) -> Option<Arc<Upstream>> {
         let now = self.now();
         let view = self.fleet().view();
-        let place = exchange.suspect().and_then(|suspect| self.suspects().trial_slot(suspect, now));
-        // The time is the median of all instances' clocks, and needed by suspects only.
-        let turn = place.map(|place| (place, self.usage().time(now)));
+        let slot = exchange.suspect().and_then(|suspect| self.suspects().trial_slot(suspect, now));
+        // The time is the median of all instances' clocks. Only suspected requests need it.
+        let turn = slot.map(|slot| (slot, self.usage().time(now)));
         let is_allowed = |upstream: &Upstream| {
-            turn.is_none_or(|(place, time)| place.allows(hash_of(&*upstream.entry.id), time))
+            turn.is_none_or(|(slot, time)| slot.allows(hash_of(&*upstream.entry.id), time))
         };
-        let able = view.of_service(&exchange.service).iter().filter(|upstream| {
+        let available = view.of_service(&exchange.service).iter().filter(|upstream| {
             upstream.takes_work(now) && !avoid.contains(&upstream.entry.id) && is_allowed(upstream)
         });
-        let able: Vec<_> = able.collect();
-        let well = able.iter().filter(|upstream| upstream.state.is_healthy(now));
-        let well: Vec<_> = well.copied().collect();
-        let candidates = if well.is_empty() { able } else { well };
+        let available: Vec<_> = available.collect();
+        let healthy = available.iter().filter(|upstream| upstream.state.is_healthy(now));
+        let healthy: Vec<_> = healthy.copied().collect();
+        let candidates = if healthy.is_empty() { available } else { healthy };
         let cost = |upstream: &Upstream| {
             let in_flight = upstream.state.work(now).in_flight;
             let queued = in_flight.saturating_sub(upstream.entry.slots.saturating_sub(1));
--- a/crates/anvilhook-gateway/src/relay/prompts.rs
+++ b/crates/anvilhook-gateway/src/relay/prompts.rs
@@ -1,4 +1,5 @@
-//! Requests to model engines: the prompt is read, then the output is generated as a stream.
+//! Serves requests to model engines: one engine reads the prompt (prefill), then the same or another one
+//! generates the output as a stream.
 
 use std::sync::Arc;
 
@@ -19,49 +20,50 @@
 use crate::prompts::{Part, Prompt};
 use crate::wires::Wire;
 
-/// The most sendings of one request after the first, refusals included, and the most that reach no
-/// upstream.
+/// The maximum number of times that one request is resent, refusals included, and the maximum number of
+/// attempts that reach no upstream.
 const MAX_REPEATS: u32 = 2;
 const MAX_UNREACHED: u32 = 4;
 
-/// How old news of other availability zones' loads are where one instance of each tells them, in
-/// milliseconds: half the pause between two of its tellings, twice, and the way.
-const FAR_NEWS_MS: f64 = 120.0;
+/// The age of load updates from other availability zones in zoned mode, where one instance of each zone
+/// publishes them, in milliseconds: twice half the interval between two of its updates, plus the network
+/// delay.
+const FAR_UPDATE_DELAY_MS: f64 = 120.0;
 
-/// When a caller is to come back if no engine took its request.
+/// The retry time for a caller whose request no engine accepted.
 pub(super) const REFUSED_PAUSE: Millis = Millis(700);
 
-/// The least size of a prompt of whose caching the peers are told.
+/// The minimum size of a cached prompt that is published to peers, in tokens.
 pub(crate) const MIN_PUBLISHED_TOKENS: u32 = 1_000;
 
-/// `Opened` is what the attempts to open a stream came to.
+/// `Opened` is the successful result of opening a stream.
 pub(super) enum Opened {
-    /// The first event has come.
+    /// A stream whose first event has been received.
     Stream(Box<Relay>),
-    /// The upstream answered something else, whole.
+    /// A complete answer of the upstream that is not a stream.
     Answer(WholeAnswer),
 }
 
-/// `Tried` is what came of a try: the inner error may be followed by another try, the outer one is
-/// the request's final answer.
+/// `Tried` is the result of one try. After the inner error another try may follow; the outer error is the
+/// request's final answer.
 pub(super) type Tried<T> = Result<Result<T, Failed>, Outcome>;
 
-/// `Job` is what all steps of a try at opening a stream share.
+/// `Job` holds what all steps of one try at opening a stream share.
 pub(super) struct Job<'a> {
-    /// What is declared of the service's engines.
+    /// The declaration of the service's engines.
     pub engine: &'a EngineSpec,
     /// The prompt.
     pub prompt: &'a Prompt,
     /// The tightest objective of the service.
     pub tightest: Millis,
-    /// The event after which the stream is to go on, if it was broken.
+    /// The event after which the stream is resumed, if it broke.
     pub resume_after: Option<u64>,
     /// The engines that have failed or refused the request.
     pub avoid: &'a mut Vec<Arc<str>>,
 }
 
 impl Job<'_> {
-    /// Returns what is to be placed.
+    /// Returns the request in the form that the placer takes.
     pub fn request<'a>(&'a self, exchange: &'a Exchange) -> Request<'a> {
         Request {
             service: &exchange.service,
@@ -84,8 +86,8 @@
         }
     }
 
-    /// Opens a stream, after the event `resume_after` if one is given. The engines in `avoid` are
-    /// asked only where no other can go on.
+    /// Opens a stream, after the event `resume_after` if one is given. The engines in `avoid` are used only
+    /// if no other engine can resume the stream.
     pub(super) async fn open_stream(
         &self,
         exchange: &mut Exchange,
@@ -100,7 +102,7 @@
                 Err(outcome) => return last_answer.map(Opened::Answer).ok_or(outcome),
             };
             let failed = match tried {
-                // An engine's own error is an answer, and better than none; another one may do better.
+                // An engine's error is an answer, and better than none, but another engine may succeed.
                 Ok(Opened::Answer(answer)) if self.may_try_again(exchange, &answer) => {
                     last_answer = Some(answer);
                     continue;
@@ -122,14 +124,14 @@
         }
     }
 
-    /// Returns whether a request that an engine has failed may be sent to another one.
+    /// Returns whether a request that an engine answered with an error may be sent to another engine.
     fn may_try_again(&self, exchange: &Exchange, answer: &WholeAnswer) -> bool {
         answer.status.is_server_error()
             && exchange.route.repeats.is_repeatable()
             && exchange.runs < exchange.route.max_attempts
     }
 
-    /// Makes one try at opening a stream. The outer error is final.
+    /// Tries once to open a stream. The outer error is final.
     async fn try_stream(
         &self,
         exchange: &mut Exchange,
@@ -137,14 +139,14 @@
         avoid: &mut Vec<Arc<str>>,
     ) -> Tried<Opened> {
         let Some(config) = self.config() else {
-            return Err(self.given_up(exchange, "no_configuration", REFUSED_PAUSE));
+            return Err(self.abandoned(exchange, "no_configuration", REFUSED_PAUSE));
         };
         exchange.refresh(&config);
         let engine = config.service(&exchange.service).and_then(|spec| spec.engine.clone());
         let prompt = exchange.prompt.clone();
         let (Some(engine), Some(prompt)) = (engine, prompt) else {
-            if resume_after.is_none() && self.may_be_cut(exchange) {
-                return Err(self.given_up(exchange, STOPPING, Millis::ZERO));
+            if resume_after.is_none() && self.may_be_interrupted(exchange) {
+                return Err(self.abandoned(exchange, STOPPING, Millis::ZERO));
             }
             return self.stream_plainly(exchange, resume_after, avoid).await;
         };
@@ -156,13 +158,13 @@
         let (plan, wait) = match self.wait_for_reader(exchange, &job).await {
             Waited::Sent(plan, wait) => (plan, wait),
             Waited::NoEngine => return Err(self.no_upstream(exchange, "no_engine", REFUSED_PAUSE)),
-            Waited::Hopeless => return Err(self.given_up(exchange, "overload", REFUSED_PAUSE)),
-            Waited::Stopping => return Err(self.given_up(exchange, STOPPING, Millis::ZERO)),
+            Waited::Hopeless => return Err(self.abandoned(exchange, "overload", REFUSED_PAUSE)),
+            Waited::Stopping => return Err(self.abandoned(exchange, STOPPING, Millis::ZERO)),
             Waited::Moved => return Ok(Err(Failed::not_sent("moved"))),
         };
         let time_left = exchange.time_left(self.now());
         if plan.first_token_ms() > time_left.0 as f64 {
-            return Err(self.given_up(exchange, "overload", REFUSED_PAUSE));
+            return Err(self.abandoned(exchange, "overload", REFUSED_PAUSE));
         }
         let reader = match plan {
             Plan::Direct(generator) => {
@@ -175,14 +177,14 @@
             Err(failed) => return Ok(Err(failed)),
         };
 
-        // The engine that generates is chosen by what is believed after the wait for the reading.
+        // The generating engine is chosen by the state that is current once the prompt has been read.
         match self.wait_for_generator(exchange, &job, handle.upstream()).await {
             Waited::Sent(generator, wait) => {
                 self.generate(exchange, &mut job, generator, Some(handle), wait).await
             }
             Waited::NoEngine => Err(self.no_upstream(exchange, "no_engine", REFUSED_PAUSE)),
-            Waited::Hopeless => Err(self.given_up(exchange, "overload", REFUSED_PAUSE)),
-            Waited::Stopping => Err(self.given_up(exchange, STOPPING, Millis::ZERO)),
+            Waited::Hopeless => Err(self.abandoned(exchange, "overload", REFUSED_PAUSE)),
+            Waited::Stopping => Err(self.abandoned(exchange, STOPPING, Millis::ZERO)),
             Waited::Moved => Ok(Err(Failed::not_sent("moved"))),
         }
     }
@@ -204,19 +206,19 @@
             speed: &speed,
             output_ms: self.inner.speeds.mean_output_ms(&exchange.service),
             zone: &self.inner.options.zone,
-            far_news_ms: if self.peers().is_full_mesh() { 0.0 } else { FAR_NEWS_MS },
+            far_news_ms: if self.peers().is_full_mesh() { 0.0 } else { FAR_UPDATE_DELAY_MS },
             now: self.now(),
         })
     }
 
-    /// Returns the header that tells engines how urgent a request is.
+    /// Returns the header that indicates to engines how urgent a request is.
     pub(super) fn urgency(&self, exchange: &Exchange) -> (HeaderName, HeaderValue) {
         const LEAST_URGENT: u8 = 9;
         let rank = exchange.priority().min(LEAST_URGENT);
         (self.wire().headers().priority.clone(), HeaderValue::from(u16::from(rank)))
     }
 
-    /// Notes what an engine now keeps, and has the peers told of it.
+    /// Records what an engine's cache now holds, and publishes it to peers if it is large enough.
     pub fn record_cached(&self, upstream: &Arc<str>, parts: &[Part], engine: &EngineSpec) {
         self.inner.caches.record(upstream, parts, engine.kv_tokens.0);
         let tokens: u32 = parts.iter().map(|part| part.tokens).sum();
--- a/crates/anvilhook-gateway/src/relay/reading.rs
+++ b/crates/anvilhook-gateway/src/relay/reading.rs
@@ -1,4 +1,4 @@
-//! Having an engine read a prompt and keep its KV cache for another.
+//! Sends a prompt to an engine that reads it (prefill) and retains its KV cache for another engine.
 
 use std::sync::Arc;
 
@@ -21,30 +21,32 @@
 use crate::speeds::EngineWork;
 use crate::wires::Wire;
 
-/// The least time that an engine is given to read a prompt, and how much longer than predicted.
+/// The minimum timeout for reading a prompt, and the part of the timeout that grows with the predicted time
+/// as a multiple of it.
 const MIN_READING_TIMEOUT: Millis = Millis(700);
-const READING_PATIENCE: f64 = 4.0;
+const READING_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// The longest backlog at which the time taken says how fast an engine is, in milliseconds.
+/// The maximum backlog at which the time taken shows the speed of an engine, in milliseconds.
 const IDLE_BACKLOG_MS: f64 = 5.0;
 
-/// The least work that says how fast an engine is; the rest is mostly the way there and back.
-const TELLING_MS: f64 = 40.0;
+/// The minimum work whose duration shows the speed of an engine, in milliseconds. The duration of less work
+/// is mostly the network round trip.
+const MIN_MEASURED_MS: f64 = 40.0;
 
-/// What the way to an engine and back takes, in milliseconds.
+/// The network round trip to an engine, in milliseconds.
 const ROUND_TRIP_MS: f64 = 2.0;
 
-/// `ReaderWork` is what was predicted of a reading.
+/// `ReaderWork` is the predicted work of reading a prompt.
 struct ReaderWork {
-    /// The tokens that the engine held.
+    /// The tokens that the engine's cache already held.
     cached: u32,
     reading_ms: f64,
-    /// Whether it fetched a part from another engine first.
+    /// Whether the engine first fetches a part from another engine.
     is_fetched: bool,
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Has an engine read the prompt and keep what it has read.
+    /// Sends the prompt to an engine that reads it and retains its KV cache.
     pub(super) async fn read_prompt(
         &self,
         exchange: &mut Exchange,
@@ -52,11 +54,11 @@
         reader: Reader,
         wait: Wait,
     ) -> Tried<KvHandle<W, C>> {
-        if let Some(withheld) = self.withheld(exchange) {
-            return Err(withheld);
+        if let Some(refusal) = self.check_quarantine(exchange) {
+            return Err(refusal);
         }
-        let Some(arrival) = self.may_send(&exchange.service, &mut exchange.has_read) else {
-            return Err(self.given_up(exchange, "retry_budget", REFUSED_PAUSE));
+        let Some(arrival) = self.admit_attempt(&exchange.service, &mut exchange.has_read) else {
+            return Err(self.abandoned(exchange, "retry_budget", REFUSED_PAUSE));
         };
         let names = self.wire().headers();
         let mut extra =
@@ -74,11 +76,11 @@
         };
         let held = Held::with_work(Arc::clone(&upstream), reader.reading_ms, reader.fetching_ms);
         if reader.reading_ms >= f64::from(SIGNIFICANT_CHANGE_MS) {
-            // Prompts that come in the same moment at several instances would otherwise all go to the
-            // engine that was idle before, and wait for each other there.
+            // Otherwise, prompts that arrive at several instances at the same moment would all go to the
+            // engine that was idle before, and queue up there.
             self.peers().announce();
         }
-        let slack = Millis((reader.total_ms * READING_PATIENCE) as u64);
+        let slack = Millis((reader.total_ms * READING_TIMEOUT_FACTOR) as u64);
         let started_at = self.now();
         let sending = Sending {
             upstream: &upstream,
@@ -99,8 +101,8 @@
         let read = self.finish_reading(exchange, sending).await;
         drop(held);
         if reader.reading_ms >= f64::from(SIGNIFICANT_CHANGE_MS) {
-            // What waits for this engine at other instances would learn only with the next digest
-            // that it is free, and the engine would stand idle meanwhile.
+            // Otherwise, other instances with requests queued for this engine would learn that it is free
+            // only from the next digest, and the engine would be idle until then.
             self.peers().announce_in_full_mesh();
         }
         let took = self.now() - started_at;
@@ -120,16 +122,16 @@
             }
             Err(failed) => {
                 job.avoid.push(Arc::clone(&upstream.entry.id));
-                self.note_ending(exchange, &upstream, &failed);
-                self.take_back(&exchange.service, &mut exchange.has_read, arrival, &failed);
-                // Reading a prompt is not running the request.
+                self.record_failure_signal(exchange, &upstream, &failed);
+                self.refund_attempt(&exchange.service, &mut exchange.has_read, arrival, &failed);
+                // Reading a prompt does not count as running the request.
                 Ok(Err(Failed { verdict: Verdict::NotRun, ..failed }))
             }
         }
     }
 
-    /// Learns from a reading that found its engine idle: how fast the service's engines read, and
-    /// whether this one is slower.
+    /// Updates the estimates from a prompt that an idle engine has read: how fast the service's engines read,
+    /// and whether this engine is slower.
     fn learn_reading(
         &self,
         exchange: &Exchange,
@@ -144,7 +146,7 @@
             let speeds = &self.inner.speeds;
             speeds.record_reading(&exchange.service, job.prompt.tokens, work.cached, at_speed_ms);
         }
-        if work.reading_ms > TELLING_MS {
+        if work.reading_ms > MIN_MEASURED_MS {
             state.record_reading(work.reading_ms / state.slowness(), took_ms);
         }
     }
--- a/crates/anvilhook-gateway/src/relay/requests.rs
+++ b/crates/anvilhook-gateway/src/relay/requests.rs
@@ -1,4 +1,4 @@
-//! Requests as they arrive, and what is passed on of them.
+//! Receives requests, checks their heads and selects the headers that are forwarded.
 
 use std::sync::Arc;
 
@@ -24,19 +24,19 @@
 use crate::suspects::Trial;
 use crate::wires::Wire;
 
-/// The time that a caller without a word about it is taken to wait.
+/// The deadline of a request without a deadline header.
 const DEFAULT_DEADLINE: Millis = Millis::from_secs(30);
 
-/// How long a caller may take over its body.
+/// The timeout for receiving a request's body.
 const BODY_TIMEOUT: Millis = Millis::from_secs(10);
 
-/// When a caller is to come back to an instance that knows no configuration.
+/// The retry time for a caller of an instance that has no usable configuration.
 const NO_CONFIG_PAUSE: Millis = Millis(300);
 
 /// `Exchange` is a request that is being served.
 pub(super) struct Exchange {
     pub id: Arc<str>,
-    /// What it has in common with its repeats, which come under other ids.
+    /// The fingerprint, which a caller's repeats of the request share although their ids differ.
     pub fingerprint: Fingerprint,
     pub method: Method,
     pub uri: Uri,
@@ -45,36 +45,36 @@
     pub body: Bytes,
     pub route: Arc<Route>,
     pub service: Arc<str>,
-    /// The caller's API key, if it has shown one.
+    /// The digest of the caller's API key, if it presented one.
     pub key: Option<KeyDigest>,
-    /// On whose behalf it is made, by the configuration that was asked last.
+    /// On whose behalf the request is made, by the configuration that was checked last.
     pub access: Access,
     pub prompt: Option<Prompt>,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived_at: Millis,
-    /// Since when the caller waits for the next event: from the arrival, or from a break of its
-    /// stream.
+    /// Since when the caller waits for the next event: since the arrival, or since the last event before its
+    /// stream broke.
     pub waits_since: Millis,
-    /// When the caller must have its final answer.
+    /// When the caller must have received its final answer.
     pub give_up_at: Millis,
-    /// The upstreams that it was sent to, in order.
+    /// The upstreams to which the request was sent, in order.
     pub tried: Vec<String>,
     /// How many attempts may have run.
     pub runs: u32,
-    /// Whether an attempt is or was under way that may run.
+    /// Whether any attempt, past or in progress, may have run.
     pub may_have_run: bool,
-    /// Whether a prompt was sent to be read before.
+    /// Whether the prompt has been sent to an engine to be read (prefill).
     pub has_read: bool,
-    /// Whether an attempt was sent before.
+    /// Whether the request has been sent to an upstream to be answered.
     pub was_sent: bool,
-    /// Whether it was counted as one that has begun to run.
+    /// Whether the request has been counted in its account's usage.
     pub is_counted: bool,
-    /// Its trial, if it is suspected of ending engines.
+    /// Its trial, if it is suspected of terminating engines.
     pub trial: Option<Trial>,
 }
 
 impl Exchange {
-    /// Reads a request whole and finds its route.
+    /// Receives a whole request and finds its route.
     pub async fn receive<W: Wire, C: Clock>(
         gateway: &Gateway<W, C>,
         req: Request,
@@ -102,7 +102,7 @@
             }
         };
 
-        // A newer configuration may have come while the body did.
+        // A newer configuration may have become active while the body was received.
         let config = gateway.config().ok_or_else(no_config)?;
         let route = find_route(&config, &parts.headers, &parts.uri)?;
         let key = key.or_else(|| key_of(&config, &parts.headers));
@@ -137,10 +137,10 @@
         })
     }
 
-    /// Looks the service up anew, by the configuration in force now.
+    /// Looks up the service again, in the configuration that is active now.
     ///
-    /// A request that waits while a newer configuration comes would otherwise go where that one no
-    /// longer allows.
+    /// Otherwise a request that waits while a newer configuration becomes active could be sent to a service
+    /// that the newer one no longer allows.
     pub fn refresh(&mut self, config: &Config) {
         let host = text(&self.headers, &header::HOST);
         let Some(route) = host.and_then(|host| config.route(&host, self.uri.path())) else {
@@ -152,24 +152,24 @@
         }
     }
 
-    /// Returns its rank; 0 is the highest.
+    /// Returns the request's priority; 0 is the highest.
     pub fn priority(&self) -> u8 {
         let account = self.access.account.as_ref();
         account.and_then(|account| account.priority).unwrap_or(self.route.priority)
     }
 
-    /// Returns what it is known by if it is on trial.
+    /// Returns the request's fingerprint if it is on trial.
     pub fn suspect(&self) -> Option<Fingerprint> {
         self.trial.as_ref().map(|_| self.fingerprint)
     }
 
-    /// Notes that an attempt begins that may run. Returns whether one before may have run.
+    /// Records that an attempt begins that may run. Returns whether an earlier one may have run.
     pub fn begin_run(&mut self) -> bool {
         std::mem::replace(&mut self.may_have_run, true)
     }
 
-    /// Notes how an attempt ended. `could_have_run` is what its beginning returned; an attempt that
-    /// has certainly not run leaves the request as it was before.
+    /// Records how an attempt ended. `could_have_run` is the value that `begin_run` returned for it; it is
+    /// restored if the attempt has certainly not run.
     pub fn end_run<T>(&mut self, could_have_run: bool, result: &Result<T, Failed>) {
         match result {
             Err(failed) if failed.verdict == Verdict::NotRun => self.may_have_run = could_have_run,
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Returns how long the caller has waited, and how long it goes on.
+    /// Returns how long the caller has waited, and how long it is willing to wait.
     pub fn waiting(&self, now: Millis) -> Waiting {
         Waiting {
             age: now - self.waits_since,
@@ -186,22 +186,22 @@
         }
     }
 
-    /// Returns whether the caller must have left: its time is over, or it waits for a stream whose
-    /// next event has not come for as long as it goes on.
+    /// Returns whether the caller must have left: its deadline has passed, or it has waited for the next
+    /// event of its stream for longer than its wait limit.
     pub fn has_lost_its_caller(&self, now: Millis) -> bool {
         let is_stream = matches!(self.route.repeats, Repeats::Stream { .. });
         self.time_left(now) == Millis::ZERO
             || (is_stream && self.waiting(now).has_lost_its_caller())
     }
 
-    /// Returns the time that is left to the caller.
+    /// Returns the time until the caller's deadline.
     pub fn time_left(&self, now: Millis) -> Millis {
         self.give_up_at - now
     }
 }
 
-/// Returns the fingerprint of a request. Its caller is its client account, or whom its credentials name, if
-/// it has any: a client's repeats may come from other addresses.
+/// Returns the fingerprint of a request. The caller is identified by its client account or else by its
+/// credentials, if any, and not by its address: a client may repeat a request from another address.
 fn fingerprint_of(access: &Access, head: &Parts, body: &[u8]) -> Fingerprint {
     let target = head.uri.path_and_query().map_or("/", |target| target.as_str());
     match &access.account {
@@ -250,12 +250,12 @@
     Ok(())
 }
 
-/// Returns a header's text.
+/// Returns the value of a header as text.
 pub(super) fn text(headers: &HeaderMap, name: &HeaderName) -> Option<String> {
     headers.get(name).and_then(|value| value.to_str().ok()).map(str::to_owned)
 }
 
-/// Returns the headers without those that concern one connection only, and without `reserved`.
+/// Returns the headers without hop-by-hop headers and without `reserved`.
 pub(super) fn end_to_end(headers: &HeaderMap, reserved: &[HeaderName]) -> HeaderMap {
     const HOP_BY_HOP: [HeaderName; 7] = [
         header::CONNECTION,
@@ -272,23 +272,23 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let mut kept = headers.clone();
+    let mut forwarded = headers.clone();
     for name in &HOP_BY_HOP {
-        kept.remove(name);
+        forwarded.remove(name);
     }
     for name in ["keep-alive", "proxy-connection"] {
-        kept.remove(name);
+        forwarded.remove(name);
     }
     for name in named {
-        // A caller must not have the headers taken off that say whose request it is.
+        // A caller must not be able to remove the headers that identify the request's host and length.
         if name != header::HOST.as_str() && name != header::CONTENT_LENGTH.as_str() {
-            kept.remove(name.as_str());
+            forwarded.remove(name.as_str());
         }
     }
     for name in reserved {
-        kept.remove(name);
+        forwarded.remove(name);
     }
-    kept.remove(header::CONTENT_LENGTH);
-    kept.remove(header::EXPECT);
-    kept
+    forwarded.remove(header::CONTENT_LENGTH);
+    forwarded.remove(header::EXPECT);
+    forwarded
 }
--- a/crates/anvilhook-gateway/src/relay/resumption.rs
+++ b/crates/anvilhook-gateway/src/relay/resumption.rs
@@ -1,4 +1,4 @@
-//! A stream on its way from an engine to the caller, and its resumption.
+//! Relays a stream from an engine to the caller, and resumes it on another engine if it breaks.
 
 use std::io;
 use std::sync::Arc;
@@ -26,22 +26,22 @@
 use crate::streams::{EventSplitter, StreamEvent};
 use crate::wires::Wire;
 
-/// How long a stream that can be resumed may be silent.
-const SILENCE: Millis = Millis(1_500);
+/// How long a stream that can be resumed may send nothing before its engine is checked.
+const EVENT_TIMEOUT: Millis = Millis(1_500);
 
-/// How long a stream goes on until it is held to have run well, whatever comes after.
+/// How long a stream must run until its request counts as completed successfully, whatever happens after.
 const TRIAL_TIME: Millis = Millis(2_000);
 
-/// The cause of a failure that is only silence.
-const SILENT: &str = "stream_silent";
+/// The cause of a failure of a stream that has sent nothing in time but is not known to be broken.
+const STREAM_SILENT: &str = "stream_silent";
 
-/// The most bytes of events that are passed on past the caller's limit, if they are there already.
+/// The maximum number of bytes that are forwarded after the caller's deadline.
 const PAST_LIMIT_BYTES: usize = 64 << 10;
 
-/// The cause of the end of a stream that goes on past its caller's limit.
+/// The cause logged for a stream that is ended because it runs past its caller's deadline.
 const OUT_OF_TIME: &str = "out_of_time";
 
-/// `Relay` is an upstream's stream of which at least one event has come.
+/// `Relay` is an upstream's stream whose first event has been received.
 pub(super) struct Relay {
     status: StatusCode,
     headers: HeaderMap,
@@ -52,7 +52,7 @@
     held: Held,
 }
 
-/// `Piece` is what came next of a stream.
+/// `Piece` is the next element of a stream.
 enum Piece {
     Event(StreamEvent),
     End,
@@ -83,7 +83,7 @@
         };
         let mut first = relay.read(gateway, exchange).await;
         while let Err(failed) = &first
-            && failed.cause == SILENT
+            && failed.cause == STREAM_SILENT
             && gateway.is_worked_on(exchange, relay.held.upstream()).await
         {
             first = relay.read(gateway, exchange).await;
@@ -93,7 +93,7 @@
                 relay.next = Some(event);
                 Ok(relay)
             }
-            // A stream that goes on after its last event has nothing more to say.
+            // A stream that is resumed after its last event has no more events.
             Ok(Piece::End) if resume_after.is_some() => Ok(relay),
             Ok(Piece::End) => Err(Failed::broken("empty_stream")),
             Err(failed) => {
@@ -110,7 +110,7 @@
         self.status
     }
 
-    /// Makes the caller's answer, which follows the stream to its end.
+    /// Creates the caller's response, which relays the stream to its end.
     pub fn into_response<W: Wire, C: Clock>(
         mut self,
         gateway: Gateway<W, C>,
@@ -135,13 +135,13 @@
             let mut passage = passage?;
             match passage.next().await {
                 Ok(Some(bytes)) => {
-                    passage.note_event();
+                    passage.record_event();
                     let bytes = counted(bytes, Arc::clone(&passage.flight));
                     Some((Ok(Frame::data(bytes)), Some(passage)))
                 }
                 Ok(None) => {
                     passage.outcome = "whole";
-                    passage.gateway.note_well(&passage.exchange);
+                    passage.gateway.record_completed_run(&passage.exchange);
                     None
                 }
                 Err(err) => {
@@ -156,7 +156,7 @@
         answer
     }
 
-    /// Reads the next event that the caller does not have yet.
+    /// Reads the next event that the caller has not received yet.
     async fn read<W: Wire, C: Clock>(
         &mut self,
         gateway: &Gateway<W, C>,
@@ -175,7 +175,7 @@
             }
             let time_left = exchange.time_left(gateway.now());
             let can_resume = exchange.route.repeats.is_repeatable();
-            let wait = if can_resume { SILENCE.min(time_left) } else { time_left };
+            let wait = if can_resume { EVENT_TIMEOUT.min(time_left) } else { time_left };
             match tokio::time::timeout(wait.as_duration(), self.body.frame()).await {
                 Ok(Some(Ok(frame))) => {
                     if let Some(data) = frame.data_ref() {
@@ -185,34 +185,34 @@
                 Ok(None) if self.splitter.is_empty() => return Ok(Piece::End),
                 Ok(None) => return Err(Failed::broken("event_cut")),
                 Ok(Some(Err(_))) => return Err(Failed::broken("stream_cut")),
-                Err(_elapsed) => return Err(Failed::silent(SILENT)),
+                Err(_elapsed) => return Err(Failed::timed_out(STREAM_SILENT)),
             }
         }
     }
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Returns whether an upstream that is silent about a request may still work on it.
+    /// Returns whether an upstream that sends nothing for a request may still work on it.
     ///
-    /// An engine may put a run off for seconds when its places or its memory are short. To give up
-    /// on it then would cut an answer that was going to be whole, or have it run twice at once, and
-    /// at full load would spend the retry budget on requests that only wait.
+    /// An engine may defer a run for seconds when it is short of slots or memory. Abandoning the run then
+    /// would truncate an answer that was going to be complete, or have the request run twice at once, and at
+    /// full load would use up the retry budget on requests that are merely queued.
     pub(super) async fn is_worked_on(&self, exchange: &Exchange, upstream: &Upstream) -> bool {
         let time_left = exchange.time_left(self.now());
         if time_left == Millis::ZERO {
             return false;
         }
-        // One that wants nothing can't be asked, and lives.
+        // An upstream that has asked for a pause must not be queried, but it is alive.
         if upstream.state.paused_until(self.now()).is_some() {
             return true;
         }
-        // An engine that has frozen leaves the question open too, past the time that the caller has.
+        // A frozen engine does not answer this call either, so the call is bounded by the caller's deadline.
         let report = self.wire().report();
         let asked = self.own_call(upstream, &report);
         let Ok(Some(answer)) = tokio::time::timeout(time_left.as_duration(), asked).await else {
             return false;
         };
-        // An engine that has started again under its id answers well, and knows nothing of the run.
+        // An engine that has restarted under its id answers, but no longer has the run.
         let Ok(report) = self.wire().engine_report(&answer.body) else { return true };
         let is_other_start = upstream.entry.has_other_start(report.born);
         let is_current = !is_other_start && !self.has_started_again(upstream);
@@ -220,18 +220,18 @@
     }
 }
 
-/// `Passage` is a relay with the request that it is for.
+/// `Passage` is a relay together with its request and the state of the response.
 struct Passage<W: Wire, C: Clock> {
     relay: Relay,
     gateway: Gateway<W, C>,
     exchange: Exchange,
     outcome: &'static str,
-    /// The bytes that were passed on past the caller's limit.
+    /// The bytes that were forwarded after the caller's deadline.
     past_limit: usize,
     began_at: Millis,
     last_event_at: Millis,
     longest_pause: Millis,
-    /// Whether it has gone on for long enough to be beyond suspicion.
+    /// Whether the stream has run long enough to count as completed successfully.
     has_lasted: bool,
     flight: Arc<Flight<W, C>>,
 }
@@ -249,7 +249,7 @@
 }
 
 impl<W: Wire, C: Clock> Passage<W, C> {
-    /// Learns how long output takes from a stream that was whole and not resumed.
+    /// Updates the estimate of output times, if the stream was complete and not resumed.
     fn learn_output(&self, took_ms: u64) {
         let Some(prompt) = &self.exchange.prompt else { return };
         if self.outcome == "whole" && self.exchange.runs == 1 {
@@ -260,31 +260,31 @@
         }
     }
 
-    /// Notes that an event goes to the caller.
-    fn note_event(&mut self) {
+    /// Records that an event is sent to the caller.
+    fn record_event(&mut self) {
         let now = self.gateway.now();
         self.longest_pause = self.longest_pause.max(now - self.last_event_at);
         self.last_event_at = now;
-        // What ends engines does so as it begins. A stream that has lasted for a while is none of that, and
-        // others like it need not wait for its end.
+        // A request that terminates engines does so when it starts. A stream that has run for a while is
+        // harmless, and requests with the same fingerprint need not wait for its end.
         if !self.has_lasted && now - self.began_at >= TRIAL_TIME {
             self.has_lasted = true;
             self.exchange.trial = None;
-            self.gateway.note_well(&self.exchange);
+            self.gateway.record_completed_run(&self.exchange);
         }
     }
 
-    /// Returns the next bytes for the caller, `None` at the stream's end. An error has the
-    /// caller's connection closed, so that the answer does not look complete.
+    /// Returns the next bytes for the caller, `None` at the end of the stream. An error closes the caller's
+    /// connection, so that the answer does not look complete.
     async fn next(&mut self) -> io::Result<Option<Bytes>> {
         if let Some(event) = self.relay.next.take() {
             return Ok(Some(event.bytes));
         }
         loop {
             match self.relay.read(&self.gateway, &self.exchange).await {
-                Ok(Piece::Event(event)) => return self.within_limit(event.bytes).map(Some),
+                Ok(Piece::Event(event)) => return self.enforce_limit(event.bytes).map(Some),
                 Ok(Piece::End) => return Ok(None),
-                Err(failed) if failed.cause == SILENT => {
+                Err(failed) if failed.cause == STREAM_SILENT => {
                     let upstream = self.relay.held.upstream();
                     if !self.gateway.is_worked_on(&self.exchange, upstream).await {
                         return self.resume(&failed).await;
@@ -308,11 +308,12 @@
         self.gateway.metrics().broken_streams.get_or_create(&label).inc();
     }
 
-    /// Returns an event's bytes, or an error if too many have gone past the caller's limit.
+    /// Returns an event's bytes, or an error if too many bytes were forwarded after the caller's deadline.
     ///
-    /// The limit ends the wait for an event. Events that are always there would go on past it for ever,
-    /// and an instance that stops counts on it. A short stream that came whole in time still ends whole.
-    fn within_limit(&mut self, bytes: Bytes) -> io::Result<Bytes> {
+    /// The deadline by itself only ends the wait for an event: a stream whose events are always available
+    /// would run past it indefinitely, and an instance that stops relies on the deadline. A short stream that
+    /// was received completely in time is still forwarded to its end.
+    fn enforce_limit(&mut self, bytes: Bytes) -> io::Result<Bytes> {
         if self.exchange.time_left(self.gateway.now()) == Millis::ZERO {
             self.past_limit += bytes.len();
         }
@@ -328,7 +329,7 @@
         let gateway = self.gateway.clone();
         let upstream = self.relay.held.upstream();
         upstream.state.ejection().record_failure(gateway.now());
-        gateway.note_ending(&self.exchange, upstream, failed);
+        gateway.record_failure_signal(&self.exchange, upstream, failed);
         let upstream = Arc::clone(&upstream.entry.id);
         let last_id = self.relay.last_id;
         let route = &self.exchange.route;
@@ -341,8 +342,8 @@
             self.log_broken(&upstream, failed, "not_allowed");
             return Err(io::Error::other(failed.cause));
         }
-        // The run before is ended before another one begins. The caller has had events, and counts
-        // its patience from the last one.
+        // The previous run is ended before another one begins. The caller has received events, so its wait
+        // limit counts from the last one.
         self.relay.body = Body::empty();
         self.exchange.waits_since = self.last_event_at;
         let time_left = self.exchange.time_left(gateway.now());
--- a/crates/anvilhook-gateway/src/relay/stopping.rs
+++ b/crates/anvilhook-gateway/src/relay/stopping.rs
@@ -1,4 +1,4 @@
-//! The end of an instance, and what it still takes on before.
+//! The graceful stop of an instance, and which requests it still accepts until its end.
 
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,37 +13,37 @@
 use crate::events::{Event, emit};
 use crate::wires::Wire;
 
-/// The reason of refusals by an instance that stops.
+/// The reason that a stopping instance sends with refusals.
 pub(super) const STOPPING: &str = "stopping";
 
-/// How many times its objective a plain request is expected to take. One that takes longer gets a whole
-/// answer at the end, unlike a stream.
+/// The expected duration of a plain request, as a multiple of its objective. A plain request that takes
+/// longer still gets a complete answer at the instance's end, unlike a stream.
 const PLAIN_FACTOR: u64 = 2;
 
-/// `Stopping` is how far an instance has come in its stop.
+/// `Stopping` is the progress of an instance's stop.
 pub(super) struct Stopping {
     stop: OnceLock<Stop>,
-    takes_none: AtomicBool,
+    is_refusing: AtomicBool,
     end: watch::Sender<bool>,
 }
 
 impl Stopping {
-    /// Makes the state of an instance that runs.
+    /// Creates the state of an instance that is not stopping.
     pub fn new() -> Self {
-        let (stop, takes_none) = (OnceLock::new(), AtomicBool::new(false));
-        Self { stop, takes_none, end: watch::Sender::new(false) }
+        let (stop, is_refusing) = (OnceLock::new(), AtomicBool::new(false));
+        Self { stop, is_refusing, end: watch::Sender::new(false) }
     }
 }
 
-/// `Weighed` is a request that was weighed against the end of its instance.
-struct Weighed {
+/// `StopDecision` is the decision whether a stopping instance still accepts a request.
+struct StopDecision {
     left: Millis,
     limit: Millis,
     expected_ms: Option<f64>,
-    taking: Acceptance,
+    acceptance: Acceptance,
 }
 
-impl Weighed {
+impl StopDecision {
     fn log(&self, exchange: &Exchange, taking: &str) {
         emit(&Event::StopWeighed {
             request: &exchange.id,
@@ -56,26 +56,26 @@
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Notes that the instance stops. Requests are still served, but for those that its end could cut.
+    /// Records that the instance stops. Requests are still served, except those that its end could interrupt.
     pub fn begin_stop(&self, stop: Stop) {
-        // Who begins it again doesn't put the end off.
+        // A second call does not postpone the end.
         self.inner.stopping.stop.get_or_init(|| stop);
     }
 
-    /// Has every request that comes from now on refused.
+    /// Refuses every request that arrives from now on.
     pub fn refuse_new(&self) {
-        self.inner.stopping.takes_none.store(true, Ordering::Release);
+        self.inner.stopping.is_refusing.store(true, Ordering::Release);
     }
 
-    /// Ends the instance's work: whoever has no answer yet is told at once whether the request may have
-    /// run. Otherwise callers would have to find out by a closed connection, which promises nothing.
+    /// Ends the instance's work: every caller without an answer is informed at once whether its request may
+    /// have run. Otherwise callers would only see a closed connection, which gives no such guarantee.
     pub fn end(&self) {
         self.refuse_new();
         self.inner.stopping.end.send_replace(true);
     }
 
-    pub(super) fn takes_none(&self) -> bool {
-        self.inner.stopping.takes_none.load(Ordering::Acquire)
+    pub(super) fn is_refusing(&self) -> bool {
+        self.inner.stopping.is_refusing.load(Ordering::Acquire)
     }
 
     pub(super) fn is_stopping(&self) -> bool {
@@ -93,41 +93,41 @@
         let _ = rx.wait_for(|has_ended| *has_ended).await;
     }
 
-    /// Returns whether the instance's end could cut a request that is sent now, which is then refused. To
-    /// be asked right before each send: the signal to stop may have come while the request waited, or its
-    /// prompt was read.
-    pub(super) fn may_be_cut(&self, exchange: &Exchange) -> bool {
-        let weighed = self.weigh(exchange);
-        let refused = weighed.filter(|weighed| weighed.taking == Acceptance::Refused);
-        refused.inspect(|weighed| weighed.log(exchange, weighed.taking.as_str())).is_some()
+    /// Returns whether the instance's end could interrupt a request that is sent now; the request must then
+    /// be refused. Call it right before each send: the signal to stop may have arrived while the request
+    /// waited or while its prompt was read.
+    pub(super) fn may_be_interrupted(&self, exchange: &Exchange) -> bool {
+        let decision = self.decide_on(exchange);
+        let refused = decision.filter(|decision| decision.acceptance == Acceptance::Refused);
+        refused.inspect(|decision| decision.log(exchange, decision.acceptance.as_str())).is_some()
     }
 
-    /// Logs why a request is sent, if the instance stops.
-    pub(super) fn log_taken(&self, exchange: &Exchange) {
-        let Some(weighed) = self.weigh(exchange) else { return };
-        let taking = match weighed.taking {
-            // Only a stream that goes on after a break is sent all the same.
+    /// Logs why a request is still sent, if the instance stops.
+    pub(super) fn log_acceptance(&self, exchange: &Exchange) {
+        let Some(decision) = self.decide_on(exchange) else { return };
+        let taking = match decision.acceptance {
+            // Only the resumption of a broken stream is sent in spite of a refusal.
             Acceptance::Refused => "resumed",
-            taking => taking.as_str(),
+            acceptance => acceptance.as_str(),
         };
-        weighed.log(exchange, taking);
+        decision.log(exchange, taking);
     }
 
-    /// Weighs a request against the end of the instance, `None` if it doesn't stop.
-    fn weigh(&self, exchange: &Exchange) -> Option<Weighed> {
+    /// Decides whether a request is still accepted. Returns `None` if the instance does not stop.
+    fn decide_on(&self, exchange: &Exchange) -> Option<StopDecision> {
         let stop = self.inner.stopping.stop.get()?;
         let now = self.now();
         let expected_ms = self.expected_ms(exchange);
-        Some(Weighed {
+        Some(StopDecision {
             left: stop.time_left(now),
             limit: exchange.time_left(now),
             expected_ms,
-            taking: stop.decide(now, exchange.give_up_at, expected_ms),
+            acceptance: stop.decide(now, exchange.give_up_at, expected_ms),
         })
     }
 
-    /// Returns how long a request is expected to take, in milliseconds: an output by the slowest seen of
-    /// late, anything else by its objective. `None` if nothing is known.
+    /// Returns how long a request is expected to take, in milliseconds: a stream by the slowest output seen
+    /// recently, any other request by its objective. Returns `None` if there is no estimate.
     fn expected_ms(&self, exchange: &Exchange) -> Option<f64> {
         match exchange.route.repeats {
             Repeats::Stream { .. } => {
--- a/crates/anvilhook-gateway/src/relay/waiting.rs
+++ b/crates/anvilhook-gateway/src/relay/waiting.rs
@@ -1,7 +1,7 @@
-//! Requests that wait here until an engine is nearly free for them.
+//! Queues requests in the gateway until an engine is nearly free for them.
 //!
-//! The decisions are those of [`anvilhook_core::pacing`]; here they are made anew, on the beliefs of
-//! each moment, until one of them sends the request.
+//! [`anvilhook_core::pacing`] decides whether a request waits; this module repeats the decision with the
+//! current state until the request is sent or abandoned.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use crate::placements::{Generator, Plan};
 use crate::wires::Wire;
 
-/// The shortest and the longest pause between two looks, and the part of a reader's backlog after
-/// which the next one is due. Each look weighs all engines of the service.
-const SHORTEST_LOOK_MS: f64 = 2.0;
-const LONGEST_LOOK_MS: f64 = 16.0;
-const LOOK_SHARE: f64 = 0.2;
+/// The minimum and maximum pause between two checks, and the share of a reader's backlog after which the next
+/// check is due. Each check evaluates all engines of the service.
+const MIN_PAUSE_MS: f64 = 2.0;
+const MAX_PAUSE_MS: f64 = 16.0;
+const PAUSE_BACKLOG_SHARE: f64 = 0.2;
 
-/// `Wait` is how long a request has waited here before it is sent, and why it waits no more.
+/// `Wait` is how long a request was queued here before it is sent, and why it is sent now.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Wait {
     pub held: Millis,
@@ -30,26 +30,26 @@
 }
 
 impl Wait {
-    /// A request that is sent without having been held.
+    /// The wait of a request that is sent without having been queued.
     pub const NONE: Wait = Wait { held: Millis::ZERO, pace: Pace::Free };
 }
 
-/// `Waited` is what came of waiting.
+/// `Waited` is the outcome of waiting.
 pub(super) enum Waited<T> {
-    /// The request is to be sent as it says, at once.
+    /// The request is to be sent at once, by the given plan.
     Sent(T, Wait),
-    /// No engine can take it.
+    /// No engine can serve the request.
     NoEngine,
-    /// It can't be answered any more before its caller leaves.
+    /// The request can no longer be answered before its caller leaves.
     Hopeless,
-    /// This instance would end in the midst of the answer.
+    /// The end of this instance could interrupt the answer.
     Stopping,
     /// The configuration has moved the request to another service.
     Moved,
 }
 
 impl<W: Wire, C: Clock> Gateway<W, C> {
-    /// Plans a request, and waits until its reader may be sent the prompt.
+    /// Plans a request and waits until its prompt may be sent to the reader.
     pub(super) async fn wait_for_reader(
         &self,
         exchange: &mut Exchange,
@@ -57,7 +57,7 @@
     ) -> Waited<Plan> {
         let began_at = self.now();
         loop {
-            if let Some(stopped) = self.stops_waiting(exchange, job) {
+            if let Some(stopped) = self.reason_not_to_wait(exchange, job) {
                 return stopped;
             }
             let Some(plan) = self.plan(exchange, job) else { return Waited::NoEngine };
@@ -69,15 +69,14 @@
                 Pace::Hopeless => return Waited::Hopeless,
                 pace => return Waited::Sent(plan, Wait { held: self.now() - began_at, pace }),
             }
-            let look_ms = reader.backlog_ms * LOOK_SHARE;
-            pause(look_ms.clamp(SHORTEST_LOOK_MS, LONGEST_LOOK_MS)).await;
+            let pause_ms = reader.backlog_ms * PAUSE_BACKLOG_SHARE;
+            pause(pause_ms.clamp(MIN_PAUSE_MS, MAX_PAUSE_MS)).await;
         }
     }
 
-    /// Chooses the engine that generates, and waits until it may be sent the request.
+    /// Chooses the engine that generates and waits until the request may be sent to it.
     ///
-    /// The prompt was read before the wait, and the engine is chosen after it, by what is believed
-    /// then.
+    /// The prompt has already been read. The engine is chosen again by the current state at each check.
     pub(super) async fn wait_for_generator(
         &self,
         exchange: &mut Exchange,
@@ -85,46 +84,46 @@
         reader: &Upstream,
     ) -> Waited<Generator> {
         let began_at = self.now();
-        let mut seeking = None;
+        let mut slot_request = None;
         loop {
-            if let Some(stopped) = self.stops_waiting(exchange, job) {
+            if let Some(stopped) = self.reason_not_to_wait(exchange, job) {
                 return stopped;
             }
             let chosen = self
                 .with_placer(exchange, |placer| placer.generator(&job.request(exchange), reader));
             let Some(generator) = chosen else { return Waited::NoEngine };
-            let places = Slots {
+            let slots = Slots {
                 slots: generator.upstream.entry.slots,
                 in_flight: generator.upstream.state.work(self.now()).in_flight,
             };
             let output_ms = self.inner.speeds.output_ms(&exchange.service, job.prompt.max_output);
             let waiting = exchange.waiting(self.now());
-            let pace = pace_generating(&waiting, generator.fetched_ms, output_ms, places);
+            let pace = pace_generating(&waiting, generator.fetched_ms, output_ms, slots);
             match pace {
                 Pace::Hold => {}
                 Pace::Hopeless => return Waited::Hopeless,
                 pace => return Waited::Sent(generator, Wait { held: self.now() - began_at, pace }),
             }
-            seeking.get_or_insert_with(|| self.inner.speeds.request_slot(&exchange.service));
-            pause(SHORTEST_LOOK_MS).await;
+            slot_request.get_or_insert_with(|| self.inner.speeds.request_slot(&exchange.service));
+            pause(MIN_PAUSE_MS).await;
         }
     }
 
-    /// Returns why a request is not to wait, nor to be sent, any more; `None` if it still may.
-    fn stops_waiting<T>(&self, exchange: &mut Exchange, job: &Job<'_>) -> Option<Waited<T>> {
+    /// Returns why a request must neither wait longer nor be sent, or `None` if it still may.
+    fn reason_not_to_wait<T>(&self, exchange: &mut Exchange, job: &Job<'_>) -> Option<Waited<T>> {
         if self.has_moved(exchange) {
             return Some(Waited::Moved);
         }
-        // The signal to stop may have come while the request waited. A stream that goes on after a
-        // break has nothing to lose.
-        let is_refused = job.resume_after.is_none() && self.may_be_cut(exchange);
+        // The signal to stop may have arrived while the request waited. A broken stream is resumed all the
+        // same, as it would otherwise remain truncated.
+        let is_refused = job.resume_after.is_none() && self.may_be_interrupted(exchange);
         is_refused.then_some(Waited::Stopping)
     }
 
-    /// Looks the request's service up anew. Returns whether it is another one than before.
+    /// Looks up the request's service again. Returns whether it has changed.
     ///
-    /// A request that waited while a newer configuration came would otherwise be sent where that
-    /// one no longer allows.
+    /// Otherwise a request that waited while a newer configuration became active could be sent to a service
+    /// that the newer one no longer allows.
     fn has_moved(&self, exchange: &mut Exchange) -> bool {
         let before = Arc::clone(&exchange.service);
         if let Some(config) = self.config() {
