--- a/crates/anvilhook-gateway/src/clouds.rs
+++ b/crates/anvilhook-gateway/src/clouds.rs
@@ -1,28 +1,28 @@
-//! The platform's API, as far as one instance at a time has duties there.
+//! The calls to the platform's API that belong to duties, which one instance at a time performs.
 
 use std::sync::Arc;
 
 use anvilhook_core::fleet_size::SizeOrder;
 
-/// `Authority` is by what right a call is made.
+/// `Authority` identifies the duty holder on whose behalf a call is made.
 #[derive(Clone, Copy, Debug)]
 pub struct Authority<'a> {
-    /// Who holds the duty.
+    /// The instance that holds the duty.
     pub holder: &'a str,
     /// The fencing token of its lease.
     pub token: u64,
 }
 
-/// `UsageReport` is how many requests of each client account began to run in a window.
+/// `UsageReport` holds the number of requests of each client account that began to run in a window.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct UsageReport {
     /// The window.
     pub window: u64,
-    /// The accounts, by name, with their requests.
+    /// The accounts' names with their numbers of requests.
     pub counts: Vec<(Arc<str>, u32)>,
 }
 
-/// `FleetOrder` is a number of a service's upstreams to run in an availability zone.
+/// `FleetOrder` orders a number of a service's upstreams for an availability zone.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct FleetOrder {
     /// The service.
@@ -31,18 +31,18 @@
     pub size: SizeOrder,
 }
 
-/// `CloudAnswer` is what came of a call.
+/// `CloudAnswer` is the outcome of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum CloudAnswer {
-    /// It was accepted.
+    /// The call was accepted.
     Accepted,
-    /// It conflicts: a newer holder has called, or what is asked for is not to be had.
+    /// The call conflicts: a newer holder has called, or the ordered upstreams are not available.
     Conflict,
-    /// The platform was too busy, or away; nothing was done.
+    /// The platform was too busy or unavailable; nothing was done.
     Busy,
-    /// It is wrong and will not be accepted.
+    /// The call is invalid and will never be accepted.
     Wrong,
-    /// No answer came; it may have been carried out, or be carried out later.
+    /// No answer arrived; the call may have been carried out, or may be carried out later.
     NoAnswer,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// `Cloud` makes calls to the platform's API. Every call is bounded in time, and decides nothing.
+/// `Cloud` makes calls to the platform's API. Every call has a timeout, and none makes decisions.
 pub trait Cloud: Clone + Send + Sync + 'static {
     /// Reports the usage of a window.
     fn report_usage(
--- a/crates/anvilhook-gateway/src/configs.rs
+++ b/crates/anvilhook-gateway/src/configs.rs
@@ -1,4 +1,4 @@
-//! The configuration in force: routes, services and limits.
+//! The active configuration: routes, services and limits.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,14 +7,15 @@
 use anvilhook_core::fleet_size::ScalingSpec;
 use anvilhook_core::units::{Millis, Tokens};
 
-/// `Repeats` says what may be repeated of a route's requests.
+/// `Repeats` indicates whether a route's requests may be repeated.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Repeats {
     /// A request may run more than once.
     Idempotent,
     /// A request runs at most once.
     AtMostOnce,
-    /// The answer is a stream of numbered events. It may be resumed after an event, or not at all.
+    /// The answer is a stream of numbered events. A stream either may be resumed after any event or not at
+    /// all.
     Stream {
         /// Whether a stream may be resumed after its last event.
         resumable: bool,
@@ -47,30 +48,30 @@
     pub weight: u32,
 }
 
-/// `Route` says where requests of a host and path prefix go, and what they may cost.
+/// `Route` determines the services for requests with a host and path prefix, and the requests' limits.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// The route's name.
     pub name: Arc<str>,
-    /// The host that it is for.
+    /// The host of its requests.
     pub host: Arc<str>,
-    /// What the path begins with, from a slash to a slash.
+    /// The prefix of the path, which begins and ends with a slash.
     pub prefix: Arc<str>,
-    /// What may be repeated.
+    /// Whether requests may be repeated.
     pub repeats: Repeats,
-    /// The longest time that a caller is kept waiting, if there is one.
+    /// The maximum time until the caller's final answer, if there is one.
     pub timeout: Option<Millis>,
-    /// The time within which an answer is on time.
+    /// The time within which an answer counts as on time.
     pub objective: Millis,
     /// How long a caller waits for the beginning of an answer before it leaves.
     pub patience: Millis,
-    /// The rank; 0 is the highest.
+    /// The priority; 0 is the highest.
     pub priority: u8,
     /// The services, with their weights.
     pub targets: Vec<Target>,
-    /// The most upstreams on which one request may run.
+    /// The maximum number of upstreams on which one request may run.
     pub max_attempts: u32,
-    /// Whether a request needs no API key.
+    /// Whether requests need no API key.
     pub is_public: bool,
 }
 
@@ -93,18 +94,18 @@
     }
 }
 
-/// `EngineSpec` is what is declared of a service's model engines.
+/// `EngineSpec` is the declaration of a service's model engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSpec {
-    /// How many requests an engine batches.
+    /// The number of requests that an engine batches.
     pub slots: u32,
-    /// How many tokens its KV cache holds.
+    /// The number of tokens that its KV cache holds.
     pub kv_tokens: Tokens,
     /// The size of a token's KV cache, in bytes.
     pub kv_token_bytes: u64,
-    /// The speed of an engine's link to others, in Mbit/s.
+    /// The bandwidth of an engine's link to other engines, in Mbit/s.
     pub link_mbps: f64,
-    /// How long an engine is away for a change of role.
+    /// How long an engine accepts no work while it changes its role.
     pub role_change: Millis,
 }
 
@@ -113,25 +114,25 @@
 pub struct ServiceSpec {
     /// The service's name.
     pub name: Arc<str>,
-    /// What its upstreams are, if they are model engines.
+    /// The declaration of its upstreams, if they are model engines.
     pub engine: Option<EngineSpec>,
-    /// How many upstreams may be ordered, if any may.
+    /// The numbers of upstreams that may be ordered, if any may.
     pub scaling: Option<ScalingSpec>,
 }
 
-/// `Limits` bounds what a caller may send.
+/// `Limits` limits the size of callers' requests.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Limits {
-    /// The size of a request's head, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// The size of a request's body, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
 }
 
 /// `Config` is one version of the whole configuration, ready for lookups.
 #[derive(Debug)]
 pub struct Config {
-    /// The version; it only grows.
+    /// The version; it only increases.
     pub version: u64,
     /// The limits for callers.
     pub limits: Limits,
@@ -141,17 +142,17 @@
     accounts: Option<AccountRegistry>,
 }
 
-/// `Access` is on whose behalf a request is made, by one configuration.
+/// `Access` identifies on whose behalf a request is made, by one version of the configuration.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Access {
-    /// The client account, if its key was given.
+    /// The client account, if the caller presented its key.
     pub account: Option<Arc<ClientAccount>>,
-    /// Whether the caller's credentials are a key to client accounts. No upstream may get it.
+    /// Whether callers are identified by API keys. Their credentials are then not forwarded to upstreams.
     pub is_by_key: bool,
 }
 
 impl Config {
-    /// Indexes a configuration.
+    /// Creates a configuration with its lookup indexes.
     pub fn new(
         version: u64,
         limits: Limits,
@@ -173,7 +174,7 @@
         Self { version, limits, services, tightest, routes: by_host, accounts: None }
     }
 
-    /// Has callers show a key of one of these client accounts, but for public routes.
+    /// Requires callers to present a key of one of these client accounts, except on public routes.
     pub fn with_accounts(self, accounts: AccountRegistry) -> Self {
         Self { accounts: Some(accounts), ..self }
     }
@@ -183,7 +184,7 @@
         self.accounts.as_ref()
     }
 
-    /// Returns on whose behalf a request on a route is made that shows a key; `None` if it is not allowed.
+    /// Returns on whose behalf a request on a route with this key is made, or `None` if it is not allowed.
     pub fn access(&self, route: &Route, key: Option<&KeyDigest>) -> Option<Access> {
         let Some(accounts) = &self.accounts else { return Some(Access::default()) };
         let account = key.and_then(|key| accounts.account(key)).cloned();
@@ -191,16 +192,16 @@
         is_allowed.then_some(Access { account, is_by_key: true })
     }
 
-    /// Returns the route of the host with the longest prefix that begins the path.
+    /// Returns the host's route with the longest prefix that matches the path.
     ///
-    /// The work is bounded by the path's slashes, however many routes there are.
+    /// The work is bounded by the number of slashes in the path, regardless of the number of routes.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = self.routes.get(host)?;
         let ends = path.rmatch_indices('/').map(|(at, _)| at + 1);
         ends.filter_map(|end| prefixes.get(&path[..end])).next()
     }
 
-    /// Returns the tightest objective of a service's routes, 0 if it has none.
+    /// Returns the tightest objective of a service's routes, or 0 if it has no routes.
     pub fn tightest_objective(&self, service: &str) -> Millis {
         self.tightest.get(service).copied().unwrap_or_default()
     }
--- a/crates/anvilhook-gateway/src/controls.rs
+++ b/crates/anvilhook-gateway/src/controls.rs
@@ -1,4 +1,4 @@
-//! What an operator asks an instance for: its metrics, and the requests under which engines have ended.
+//! Answers the requests of operators: the metrics, and the requests during which engines have terminated.
 
 use anvilhook_core::fingerprints::Fingerprint;
 use anvilhook_core::quarantine::{EngineEnd, SuspectStatus};
@@ -12,27 +12,27 @@
 use crate::relay::Gateway;
 use crate::wires::Wire;
 
-/// The path of the suspected requests; one of them follows it to be lifted.
+/// The path of the suspected requests. A fingerprint is appended to it to lift that request's quarantine.
 const QUARANTINE_PATH: &str = "/quarantine";
 
-/// `Suspected` is a request under which engines have ended, as an operator sees it.
+/// `Suspected` is a request during which engines have terminated, in the form shown to operators.
 #[derive(Serialize)]
 struct Suspected {
     fingerprint: Fingerprint,
-    /// Whether it is sent to no engine any more.
+    /// Whether the request is quarantined, that is, no longer sent to any engine.
     is_quarantined: bool,
     ends: Vec<Ended>,
 }
 
-/// `Ended` is an engine that ended under a request.
+/// `Ended` is an engine that terminated while it ran a request.
 #[derive(Serialize)]
 struct Ended {
-    /// The short form of its id and start, as in the line `engine_ended`.
+    /// The hash of the engine's id and start time, as in the event `engine_ended`.
     incarnation: u32,
     age_ms: u64,
 }
 
-/// `Refused` is why an operator's request is not carried out.
+/// `Refused` is the body of an answer that refuses an operator's request.
 #[derive(Serialize)]
 struct Refused {
     error: &'static str,
@@ -44,8 +44,9 @@
     }
 }
 
-/// Answers an operator: `GET /quarantine` lists the suspected requests, `DELETE /quarantine/FINGERPRINT`
-/// lifts one here and at all instances, and all else is answered with the metrics.
+/// Answers an operator's request: `GET /quarantine` lists the suspected requests, `DELETE
+/// /quarantine/FINGERPRINT` lifts a request's quarantine at all instances, and any other path returns the
+/// metrics.
 pub fn answer<W: Wire, C: Clock>(gateway: &Gateway<W, C>, req: &Request) -> Response {
     match req.uri().path().strip_prefix(QUARANTINE_PATH) {
         Some("" | "/") if req.method() == Method::GET => list(gateway),
@@ -58,9 +59,9 @@
 fn list<W: Wire, C: Clock>(gateway: &Gateway<W, C>) -> Response {
     let now = gateway.now();
     let suspects = gateway.suspects().list(now).into_iter();
-    let suspected = suspects.map(|(fingerprint, standing, ends)| Suspected {
+    let suspected = suspects.map(|(fingerprint, status, ends)| Suspected {
         fingerprint,
-        is_quarantined: standing == SuspectStatus::Quarantined,
+        is_quarantined: status == SuspectStatus::Quarantined,
         ends: ends.iter().map(|end| Ended::new(end, now)).collect(),
     });
     json(StatusCode::OK, &suspected.collect::<Vec<_>>())
@@ -70,10 +71,12 @@
     let Ok(fingerprint) = path.trim_start_matches('/').parse::<Fingerprint>() else {
         return refuse(StatusCode::BAD_REQUEST, "fingerprint: 32 hexadecimal digits expected");
     };
-    // The others may hold what this instance has not heard of, and are told in any case.
+    // Peers may have recorded ends that this instance has not received, so they are notified in any case.
     match gateway.lift(fingerprint) {
         true => json(StatusCode::OK, &fingerprint),
-        false => refuse(StatusCode::NOT_FOUND, "fingerprint: nothing speaks against it here"),
+        false => {
+            refuse(StatusCode::NOT_FOUND, "fingerprint: no engine end is recorded against it here")
+        }
     }
 }
 
--- a/crates/anvilhook-gateway/src/events.rs
+++ b/crates/anvilhook-gateway/src/events.rs
@@ -1,8 +1,9 @@
-//! The events that an instance logs, each a type with its fields, in one place.
+//! The events that an instance logs, with their fields.
 //!
-//! A line is logged for each decision that touches a request or changes what the instance believes.
-//! Each event says by its level how long it is kept when the lines come faster than they can be
-//! written: what is above `Info`, and what is about beliefs, goes before plain successes.
+//! A line is logged for each decision that affects a request or changes the instance's cached state. An
+//! event's level and target determine whether it is retained when lines are produced faster than they can be
+//! written: requests that simply succeed are dropped first, before events above `Info` and events about
+//! cached state.
 
 use std::collections::BTreeMap;
 use std::sync::LazyLock;
@@ -17,23 +18,24 @@
 /// The target of lines about requests.
 pub const REQUESTS: &str = "anvilhook::requests";
 
-/// The target of lines about what is believed.
+/// The target of lines about cached state.
 pub const BELIEFS: &str = "anvilhook::beliefs";
 
-/// The lines that the process has dropped because nobody took them, as long as it runs.
+/// The number of lines that the process has dropped since its start because they could not be written fast
+/// enough.
 ///
-/// Whoever writes lines counts here, so that the metrics tell it also when the log can't be read.
+/// The log writer counts here, so that the metrics show the loss even if the log can't be read.
 pub static LINES_DROPPED: LazyLock<Counter> = LazyLock::new(Counter::default);
 
-/// `Evidence` is what shows that an engine has ended.
+/// `Evidence` is what shows that an engine has terminated.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Evidence {
     /// Its host refuses connections.
     Refused,
-    /// Another start of it is there, or another engine at its address.
+    /// The engine has restarted, or another engine has its address.
     Restarted,
-    /// Its entry went after its connections had broken.
+    /// Its entry was removed after its connections had broken.
     Removed,
 }
 
@@ -59,58 +61,58 @@
         /// The program's version.
         version: &'a str,
     },
-    /// A signal came.
+    /// The process received a signal.
     Signalled {
         /// The signal's name.
         signal: &'a str,
-        /// Requests in flight at that moment.
+        /// The number of requests in flight at that time.
         in_flight: u64,
     },
-    /// The settings were read anew.
+    /// The settings were reread.
     SettingsReread {
-        /// Whether anything is used otherwise than before.
+        /// Whether any change was applied.
         has_changed: bool,
-        /// What has changed and is used only after the next start.
+        /// The changes that are applied only at the next start.
         at_restart: Vec<&'static str>,
     },
-    /// The settings were read anew and can't be used; the earlier ones are in force.
+    /// The settings were reread and are invalid; the earlier ones remain in use.
     SettingsRefused {
-        /// Why, with the field.
+        /// The invalid field and what is wrong with it.
         cause: String,
     },
-    /// The instance ends.
+    /// The instance exits.
     Stopped {
-        /// Requests that are cut by the end.
+        /// The number of requests that are interrupted by the exit.
         in_flight: u64,
-        /// Datagrams sent to peers since the start.
+        /// The number of datagrams sent to peers since the start.
         digests: u64,
-        /// Their bytes, without what the network adds.
+        /// The size of these datagrams in bytes, without network overhead.
         digest_bytes: u64,
-        /// The same by whose news they are, and by section.
+        /// The bytes of datagrams by scope and by section.
         digest_sections: BTreeMap<&'static str, BTreeMap<&'static str, u64>>,
     },
-    /// A table can't be reached; what was read of it goes on being believed.
+    /// A table can't be reached; the rows that were read before stay in use.
     DependencyLost {
         /// The table.
         dependency: &'a str,
-        /// What came of the call.
+        /// The error of the call.
         cause: String,
     },
     /// A table is reached again.
     DependencyRegained {
         /// The table.
         dependency: &'a str,
-        /// How long it was away, in milliseconds.
+        /// How long it was unreachable, in milliseconds.
         away_ms: u64,
     },
-    /// A table's changes are no longer kept; it is read anew.
+    /// A table no longer retains the changes needed to follow it; it is reread.
     HistoryGone {
         /// The table.
         dependency: &'a str,
-        /// The version up to which it had been followed.
+        /// The version up to which it was followed.
         version: u64,
     },
-    /// A call to a table has ended.
+    /// A call to a table has completed.
     TableCalled {
         /// The table.
         dependency: &'a str,
@@ -119,21 +121,21 @@
         /// `answered`, `refused`, `history_gone` or `no_answer`.
         outcome: &'static str,
     },
-    /// Changed rows of a followed table were taken in.
+    /// Changed rows of a followed table were applied.
     RowsTaken {
         /// The table.
         dependency: &'a str,
-        /// `call` by a call of this instance, `whole` by reading the table whole, or `told` by another
-        /// instance.
+        /// The source of the rows: `call` if this instance called the table for changes, `whole` if it read
+        /// the whole table, or `told` if another instance sent them.
         source: &'static str,
-        /// The newest change before them.
+        /// The version before these changes.
         after: u64,
-        /// The version that they lead to.
+        /// The version after these changes.
         to: u64,
-        /// How many there are.
+        /// The number of rows.
         rows: usize,
     },
-    /// A row can't be read; what was believed before stays.
+    /// A row can't be decoded; its earlier value stays in use.
     UnreadableRow {
         /// The table.
         table: &'a str,
@@ -142,92 +144,93 @@
         /// The field and what is wrong with it.
         cause: String,
     },
-    /// A configuration is in force.
+    /// A configuration has become active.
     ConfigAdopted {
         /// Its version.
         version: u64,
-        /// The version before, if there was one.
+        /// The previously active version, if there was one.
         before: Option<u64>,
     },
     /// The listed upstreams have changed.
     FleetChanged {
-        /// How many are listed.
+        /// The number of listed upstreams.
         listed: usize,
-        /// Those that are leaving.
+        /// The upstreams that are leaving.
         draining: Vec<&'a str>,
-        /// Those that were not listed before.
+        /// The upstreams that were not listed before.
         added: Vec<&'a str>,
-        /// Those that are no longer listed.
+        /// The upstreams that are no longer listed.
         removed: Vec<&'a str>,
-        /// Those that have started again under their id.
+        /// The upstreams that have restarted under their id.
         restarted: Vec<&'a str>,
     },
-    /// An engine has shown by its own answer which role it has.
+    /// An engine's own answer has shown which role it has.
     RoleShown {
         /// The engine.
         upstream: &'a str,
         /// The role.
         role: Role,
-        /// The request by which it was learnt, if it was not asked for its report.
+        /// The request whose answer showed it; absent if it came from the engine's report.
         request: Option<&'a str>,
     },
-    /// An upstream is left alone: its host refuses connections, or several instances got its errors.
+    /// An upstream is not used for a while: its host refuses connections, or several instances received
+    /// errors from it.
     UpstreamClosed {
         /// The upstream.
         upstream: &'a str,
         /// The request whose connection was refused, empty after errors.
         request: &'a str,
-        /// For how long it is left alone, in milliseconds.
+        /// For how long it is not used, in milliseconds.
         for_ms: u64,
     },
-    /// An upstream turned out to be gone, before the list said so.
+    /// An upstream was found to have terminated before the upstream table showed it.
     UpstreamGone {
         /// The upstream.
         upstream: &'a str,
-        /// The request by which it was learnt.
+        /// The request whose answer showed it.
         request: &'a str,
     },
-    /// An upstream has told in an answer that it leaves, or for how long it wants nothing.
+    /// An upstream has reported in an answer that it leaves, or has asked for a pause.
     UpstreamTold {
         /// The upstream.
         upstream: &'a str,
-        /// The request that it answered, empty if it was a call of the instance's own.
+        /// The request that it answered, empty for a call that the gateway itself made.
         request: &'a str,
         /// The status of the answer.
         status: u16,
         /// Whether it leaves.
         is_leaving: bool,
-        /// For how long it wants nothing, in milliseconds.
+        /// The length of the requested pause, in milliseconds.
         pause_ms: Option<u64>,
     },
-    /// An upstream's wish for a pause can't be read.
+    /// An upstream's request for a pause can't be decoded.
     PauseIgnored {
         /// The upstream.
         upstream: &'a str,
         /// What is wrong with it.
         cause: String,
     },
-    /// An engine has ended while it ran requests.
+    /// An engine has terminated while it ran requests.
     EngineEnded {
         /// The engine.
         upstream: &'a str,
-        /// The short form of its id and start.
+        /// The hash of its id and start time.
         incarnation: u32,
-        /// What shows it.
+        /// The evidence for it.
         evidence: Evidence,
-        /// How many requests of this instance it ran.
+        /// The number of requests of this instance that it ran.
         runs: usize,
-        /// Those of them that are suspected by it.
+        /// The requests among them that are now suspected.
         suspects: Vec<Fingerprint>,
     },
-    /// A request is sent to no engine any more.
+    /// A request was quarantined and is no longer sent to any engine.
     RequestQuarantined {
         /// The request.
         fingerprint: Fingerprint,
-        /// The engines that ended under it, by the short forms of their ids and starts, with the time since
-        /// in milliseconds.
+        /// The engines that terminated while they ran it, by the hashes of their ids and start times, with
+        /// the time since then in milliseconds.
         ends: Vec<(u32, u64)>,
-        /// `own` by what this instance has seen, or `told` by another one.
+        /// `own` if this instance observed the ends itself, or `told` if another instance reported them.
         source: &'static str,
     },
     /// An operator has lifted a quarantine.
@@ -235,125 +238,125 @@
         /// The request.
         fingerprint: Fingerprint,
     },
-    /// Another share of a service's engines is to read prompts.
+    /// The share of a service's engines that are to read prompts (prefill) has changed.
     SplitPlanned {
         /// The service.
         service: &'a str,
-        /// The share.
+        /// The new share.
         share: f64,
-        /// The share before.
+        /// The previous share.
         before: f64,
     },
-    /// The engines were asked what their caches hold.
+    /// The engines were queried for the content of their caches.
     CachesRead {
-        /// The parts that they hold.
+        /// The number of parts in the caches.
         parts: usize,
     },
-    /// A lease was taken or renewed, or was not.
+    /// An attempt to acquire or renew a lease has completed.
     Lease {
-        /// What it is for.
+        /// The purpose of the lease.
         lease: &'a str,
-        /// What came of it.
+        /// The outcome.
         outcome: &'a str,
         /// The fencing token, 0 if there is none.
         token: u64,
     },
-    /// The usage of a window was reported, or was not.
+    /// A call to report the usage of a window has completed.
     UsageReported {
         /// The window.
         window: u64,
-        /// How many client accounts it names.
+        /// The number of client accounts in the report.
         accounts: usize,
-        /// How many requests of all of them.
+        /// The total number of their requests.
         requests: u64,
         /// The fencing token.
         token: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: &'a str,
     },
-    /// How many upstreams there are, and how many are used.
+    /// The number of a service's upstreams and their use.
     FleetSeen {
         /// The service.
         service: &'a str,
-        /// How many there are that don't leave, regular and reclaimable ones.
+        /// The number of regular upstreams that are not leaving.
         regular: u32,
-        /// See `regular`.
+        /// The number of reclaimable upstreams that are not leaving.
         reclaimable: u32,
-        /// How many engines' worth of work there is, in hundredths.
+        /// The work, in hundredths of one engine's capacity.
         used: u32,
-        /// How many there were before any were ordered, if that is known.
+        /// The number of upstreams before any were ordered, if it is known.
         usual: Option<u32>,
     },
-    /// A number of upstreams was ordered, or was not.
+    /// A call to order a number of upstreams has completed.
     FleetOrdered {
         /// The service.
         service: &'a str,
         /// The availability zone.
         zone: &'a str,
-        /// Whether they may be reclaimed.
+        /// Whether the upstreams are reclaimable.
         reclaimable: bool,
-        /// How many there are.
+        /// The current number.
         has: u32,
-        /// How many are ordered.
+        /// The ordered number.
         desired: u32,
-        /// Why.
+        /// The reason.
         reason: &'a str,
-        /// How old the list of upstreams is, in milliseconds.
+        /// The age of the upstream table, in milliseconds.
         list_age_ms: Option<u64>,
         /// The fencing token.
         token: u64,
-        /// What came of it.
+        /// The outcome.
         outcome: &'a str,
     },
-    /// The usage of a window is not reported: its time is over.
+    /// The usage of a window is not reported, because the time to report it has passed.
     UsageMissed {
         /// The window.
         window: u64,
     },
-    /// A duty is put off.
+    /// A duty is postponed.
     DutyDelayed {
         /// The duty.
         duty: &'a str,
-        /// Why.
+        /// The cause.
         cause: String,
     },
     /// An order was given to an engine.
     OrderGiven {
         /// The engine.
         upstream: &'a str,
-        /// The role that it is to take.
+        /// The role that it is ordered to switch to.
         role: &'a str,
         /// The fencing token.
         token: u64,
-        /// What the engine said.
+        /// The engine's answer.
         outcome: &'a str,
     },
-    /// An upstream was chosen and the request is sent there.
+    /// An upstream was chosen, and the request is sent to it.
     Placed {
         /// The request.
         request: &'a str,
         /// The upstream.
         upstream: &'a str,
-        /// What it is to do: `plain`, `read` or `generate`.
+        /// The stage: `plain`, `read` or `generate`.
         stage: &'a str,
-        /// The predicted time until it is done or has begun to answer, in milliseconds.
+        /// The predicted time until the upstream is done or begins to answer, in milliseconds.
         predicted_ms: u64,
-        /// What of that is the engine's own work, in milliseconds; the rest is waiting.
+        /// The part of that time that is the engine's own work, in milliseconds; the rest is waiting.
         work_ms: u64,
-        /// How long it was held here before, in milliseconds.
+        /// How long the request was queued here before, in milliseconds.
         held_ms: u64,
-        /// Why it is sent now: `free` or `due`.
+        /// Why the request is sent now: `free` or `due`.
         pace: &'a str,
-        /// What all instances are believed to have in flight there.
+        /// The estimated number of requests that all instances have in flight there.
         in_flight: u32,
         /// The engine from which the prompt is fetched, if any.
         source: Option<&'a str>,
-        /// The age of the list of upstreams, in milliseconds.
+        /// The age of the upstream table, in milliseconds.
         list_age_ms: Option<u64>,
-        /// The age of the newest word of a peer, in milliseconds.
+        /// The age of the newest update from a peer, in milliseconds.
         peers_age_ms: Option<u64>,
     },
-    /// An instance that stops has taken a request on, or has refused it because its end could cut it.
+    /// A stopping instance has accepted a request, or refused it because its end could interrupt it.
     StopWeighed {
         /// The request.
         request: &'a str,
@@ -361,25 +364,25 @@
         left_ms: u64,
         /// The time until the caller's own limit, in milliseconds.
         limit_ms: u64,
-        /// How long it is expected to take, in milliseconds, if anything is known of that.
+        /// The expected duration of the request, in milliseconds, if there is an estimate.
         expected_ms: Option<u64>,
-        /// `bounded` by the caller's limit, `expected` to end in time, `refused`, or `resumed` after a
-        /// break.
+        /// `bounded` if the caller's own limit is early enough, `expected` if the request is expected to end
+        /// in time, `refused`, or `resumed` if it continues a broken stream.
         taking: &'a str,
     },
-    /// An attempt brought no answer to pass on.
+    /// An attempt produced no answer to forward.
     AttemptFailed {
         /// The request.
         request: &'a str,
         /// The upstream.
         upstream: &'a str,
-        /// What the request has in common with its repeats.
+        /// The request's fingerprint, which its repeats share.
         fingerprint: Fingerprint,
-        /// What it was to do.
+        /// The stage that the attempt was for.
         stage: &'a str,
         /// Whether the request may have run.
         verdict: &'a str,
-        /// Why.
+        /// The cause.
         cause: &'a str,
     },
     /// A stream broke after its first event.
@@ -388,27 +391,28 @@
         request: &'a str,
         /// The upstream.
         upstream: &'a str,
-        /// What the request has in common with its repeats.
+        /// The request's fingerprint, which its repeats share.
         fingerprint: Fingerprint,
-        /// The last event that the caller got.
+        /// The last event that the caller received.
         last_event: Option<u64>,
-        /// Why it broke.
+        /// The cause of the break.
         cause: &'a str,
-        /// `resumed`, or why it was not.
+        /// `resumed`, or why the stream was not resumed.
         outcome: &'a str,
     },
-    /// The caller left before its answer, and what was done for it was dropped.
+    /// The caller left before its answer, and the work on its request was dropped.
     CallerLeft {
         /// The request.
         request: &'a str,
         /// The time from its arrival, in milliseconds.
         took_ms: u64,
     },
-    /// A stream has come to its end.
+    /// A stream has ended.
     StreamEnded {
         /// The request.
         request: &'a str,
-        /// `whole`, `cut`, `left` if the caller went first, or `stopped` if the instance ended.
+        /// `whole`, `cut` if it was truncated, `left` if the caller left before its end, or `stopped` if the
+        /// instance ended.
         outcome: &'a str,
         /// The longest pause between two events, in milliseconds.
         longest_pause_ms: u64,
@@ -417,30 +421,29 @@
     },
     /// A request has been answered, or its stream has begun.
     Concluded {
-        /// The request, empty if it bore no id.
+        /// The request, empty if it had no id.
         request: &'a str,
-        /// What it has in common with its repeats, if it was read whole.
+        /// The request's fingerprint, if the request was received completely.
         fingerprint: Option<Fingerprint>,
         /// Its route, empty if none was found.
         route: &'a str,
-        /// Its client account, if it showed a key of one.
+        /// Its client account, if the caller presented the key of one.
         account: Option<&'a str>,
-        /// The status that the caller got.
+        /// The status sent to the caller.
         status: u16,
-        /// Why, in a word.
+        /// The reason.
         reason: &'a str,
-        /// When the caller is to come back, in milliseconds.
+        /// The time after which the caller should retry, in milliseconds.
         retry_after_ms: Option<u64>,
-        /// The upstreams that it was sent to, with what each took.
+        /// The upstreams to which it was sent, with the time that each took.
         upstreams: &'a str,
         /// The time from its arrival, in milliseconds.
         took_ms: u64,
-        /// The time that the caller had, in milliseconds.
+        /// The time from the arrival until the caller's deadline, in milliseconds.
         had_ms: u64,
-        /// The time within which an answer would have been on time, in milliseconds; 0 without a
-        /// route.
+        /// The time within which an answer counts as on time, in milliseconds; 0 without a route.
         objective_ms: u64,
-        /// The version of the configuration by which it was decided.
+        /// The version of the active configuration.
         config: u64,
     },
 }
--- a/crates/anvilhook-gateway/src/lib.rs
+++ b/crates/anvilhook-gateway/src/lib.rs
@@ -1,10 +1,10 @@
-//! The gateway serves requests of any service, by routes and upstreams that somebody else declares.
+//! The gateway serves requests to any service, by routes and upstreams that are declared elsewhere.
 //!
-//! Where `anvilhook-daemon` has an interface of its own, the gateway passes a caller's request on
-//! as it came: path, body and end-to-end headers. What it believes (the configuration in force,
-//! the upstreams, what their caches hold) it reads from a [`Table`](tables::Table). How the
-//! configuration, the entries and the upstreams' own messages are spelled is told by a
-//! [`Wire`](wires::Wire), so that no decision knows the names of one deployment.
+//! Unlike `anvilhook-daemon`, which defines its own interface, the gateway forwards a caller's request
+//! unchanged: path, body and end-to-end headers. It reads its cached state (the active configuration, the
+//! upstreams and the content of their caches) from a [`Table`](tables::Table). A [`Wire`](wires::Wire)
+//! encodes and decodes the configuration, the entries and the upstreams' messages, so that no decision
+//! depends on the names that one deployment uses.
 #![forbid(unsafe_code)]
 
 pub mod budgets;
--- a/crates/anvilhook-gateway/src/metrics.rs
+++ b/crates/anvilhook-gateway/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Counters, histograms and gauges of an instance, as text for Prometheus.
+//! Counters, histograms and gauges of an instance, in the Prometheus text format.
 //!
-//! Label sets are bounded: services and upstreams are those that are declared and listed, and what
-//! the gateway itself names is a fixed set of words.
+//! The number of label sets is bounded: services and upstreams are limited to the declared and listed ones,
+//! and every other label value comes from a fixed set.
 
 use std::collections::HashMap;
 use std::sync::Mutex;
@@ -24,51 +24,51 @@
 /// The upper bounds of the latency histograms, in seconds.
 const LATENCY_BOUNDS: [f64; 11] = [0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0];
 
-/// The most services that have series of their own; the rest share one.
+/// The maximum number of services that have their own time series; beyond it, all services share one.
 const MAX_SERVICES: usize = 64;
 
-/// `RequestLabels` tell how requests ended.
+/// `RequestLabels` are the labels of concluded requests.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct RequestLabels {
-    /// The service, empty where no route was found.
+    /// The service, empty if no route was found.
     pub service: String,
-    /// What may be repeated.
+    /// Whether the requests may be repeated.
     pub kind: &'static str,
-    /// The status that the caller got.
+    /// The status sent to the caller.
     pub status: u16,
-    /// Why.
+    /// The reason.
     pub reason: &'static str,
 }
 
-/// `AttemptLabels` tell how attempts failed.
+/// `AttemptLabels` are the labels of failed attempts.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct AttemptLabels {
-    /// What the attempt was for.
+    /// The stage of the request that the attempt was for.
     pub stage: &'static str,
-    /// The verdict on it.
+    /// The verdict whether the request has run.
     pub verdict: &'static str,
-    /// Why it failed.
+    /// The cause of the failure.
     pub cause: &'static str,
 }
 
 /// `KindLabel` is a kind of requests.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct KindLabel {
-    /// What may be repeated.
+    /// Whether the requests may be repeated.
     pub kind: &'static str,
 }
 
-/// `NameLabel` names a service, an upstream, a belief or an outcome.
+/// `NameLabel` names a service, an upstream, a source of cached state or an outcome.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct NameLabel {
     /// The name.
     pub name: String,
 }
 
-/// `TableLabels` tell what calls to the platform's tables were for, and how they ended.
+/// `TableLabels` are the labels of calls to the platform's tables.
 #[derive(Clone, Debug, EncodeLabelSet, Eq, Hash, PartialEq)]
 pub struct TableLabels {
-    /// The table. The gateway names all of them.
+    /// The table. All values come from the gateway.
     pub table: String,
     /// `scan`, `changes` or `write`.
     pub call: &'static str,
@@ -76,28 +76,28 @@
     pub outcome: &'static str,
 }
 
-/// `GatewayMetrics` is all that an instance counts.
+/// `GatewayMetrics` holds all metrics of an instance.
 pub struct GatewayMetrics {
     registry: Registry,
-    /// Requests by how they ended.
+    /// Concluded requests, by outcome.
     pub requests: Family<RequestLabels, Counter>,
-    /// Attempts that brought no answer to pass on.
+    /// Attempts that produced no answer to forward.
     pub failed_attempts: Family<AttemptLabels, Counter>,
-    /// Streams that broke after their first event, by what was done.
+    /// Streams that broke after their first event, by whether they were resumed.
     pub broken_streams: Family<NameLabel, Counter>,
     /// Orders given to engines, by outcome.
     pub orders: Family<NameLabel, Counter>,
     /// The time to the head of the answer.
     pub latency: Family<KindLabel, Histogram>,
-    /// Calls to the platform's tables that have ended.
+    /// Completed calls to the platform's tables.
     pub table_calls: Family<TableLabels, Counter>,
-    /// What could not be read, by where it came from.
+    /// Items that could not be decoded, by source.
     unreadable: Family<NameLabel, Counter>,
     /// Datagrams sent to peers.
     pub digests: Counter,
-    /// Their bytes, without what the network adds.
+    /// The size of these datagrams in bytes, without network overhead.
     pub digest_bytes: Counter,
-    /// The same by section and by whose news they are.
+    /// The bytes of datagrams by section and by scope.
     pub digest_sections: SectionBytes,
     engines_ended: Family<NameLabel, Counter>,
     suspected_requests: Gauge,
@@ -118,7 +118,7 @@
 }
 
 impl GatewayMetrics {
-    /// Makes metrics that have counted nothing.
+    /// Creates metrics with all counters at zero.
     pub fn new() -> Self {
         let latency = || Histogram::new(LATENCY_BOUNDS);
         let mut metrics = Self {
@@ -156,10 +156,10 @@
 
     fn register(&mut self) {
         let registry = &mut self.registry;
-        registry.register("requests", "Requests by how they ended", self.requests.clone());
+        registry.register("requests", "Concluded requests, by outcome", self.requests.clone());
         registry.register(
             "failed_attempts",
-            "Attempts that brought no answer to pass on",
+            "Attempts that produced no answer to forward",
             self.failed_attempts.clone(),
         );
         registry.register(
@@ -175,12 +175,12 @@
         );
         registry.register(
             "table_calls",
-            "Calls to the platform's tables that have ended",
+            "Completed calls to the platform's tables",
             self.table_calls.clone(),
         );
         registry.register(
             "unreadable",
-            "Versions of rows and of the settings, datagrams and reports that can't be read",
+            "Versions of rows and of the settings, datagrams and reports that can't be decoded",
             self.unreadable.clone(),
         );
         registry.register("digests", "Datagrams sent to peers", self.digests.clone());
@@ -196,23 +196,23 @@
         );
         registry.register(
             "engines_ended",
-            "Engines that ended while they ran requests of this instance, by what showed it",
+            "Engines that terminated while they ran requests of this instance, by evidence",
             self.engines_ended.clone(),
         );
         registry.register(
             "suspected_requests",
-            "Requests under which engines have ended, quarantined ones included",
+            "Requests during which engines have terminated, quarantined ones included",
             self.suspected_requests.clone(),
         );
         registry.register(
             "quarantined_requests",
-            "Requests that are sent to no engine because three have ended under them",
+            "Requests that are sent to no engine because three engines have terminated during them",
             self.quarantined_requests.clone(),
         );
         registry.register("in_flight", "Requests in flight", self.in_flight.clone());
         registry.register(
             "config_version",
-            "Version of the configuration in force",
+            "Version of the active configuration",
             self.config_version.clone(),
         );
         registry.register(
@@ -220,10 +220,10 @@
             "Fencing token of the last lease held, 0 if none",
             self.lease_token.clone(),
         );
-        registry.register("peers", "Other instances heard of late", self.peers.clone());
+        registry.register("peers", "Other instances recently seen", self.peers.clone());
         registry.register(
             "belief_age_ms",
-            "Time since the source of a belief was last heard",
+            "Time since a source of cached state was last contacted",
             self.belief_age_ms.clone(),
         );
         registry.register(
@@ -238,7 +238,7 @@
         );
         registry.register(
             "upstream_reading_ms",
-            "Prompt work waiting at an engine, estimated over all instances",
+            "Pending prefill work at an engine, estimated over all instances",
             self.upstream_reading_ms.clone(),
         );
         registry.register(
@@ -253,49 +253,49 @@
         );
         registry.register(
             "service_reading_ms",
-            "Prompt work waiting at a service's engines, estimated over all instances",
+            "Pending prefill work at a service's engines, estimated over all instances",
             self.service_reading_ms.clone(),
         );
         registry.register(
             "service_slots",
-            "Requests that a service's listed upstreams run at once",
+            "Requests that a service's listed upstreams can run at once",
             self.service_slots.clone(),
         );
         registry.register(
             "lines_dropped",
-            "Lines of the log that were dropped because nobody took them",
+            "Log lines that were dropped because they could not be written fast enough",
             LINES_DROPPED.clone(),
         );
     }
 
-    /// Counts something that can't be read. The gateway names all sources.
+    /// Counts an item that can't be decoded. All names of sources come from the gateway.
     pub fn record_unreadable(&self, source: &str) {
         self.unreadable.get_or_create(&NameLabel { name: source.to_owned() }).inc();
     }
 
-    /// Counts an engine that has ended.
+    /// Counts an engine that has terminated.
     pub fn record_end(&self, evidence: Evidence) {
         let label = NameLabel { name: evidence.as_str().to_owned() };
         self.engines_ended.get_or_create(&label).inc();
     }
 
-    /// Notes that the source of a belief has been heard.
-    pub fn record_contact(&self, belief: &'static str, now: Millis) {
-        self.contacts.lock().expect("no panic under this lock").insert(belief, now);
+    /// Records that a source of cached state has been contacted.
+    pub fn record_contact(&self, source: &'static str, now: Millis) {
+        self.contacts.lock().expect("no panic under this lock").insert(source, now);
     }
 
-    /// Returns how long ago the source of a belief was heard, `None` if it never was.
-    pub fn source_age(&self, belief: &str, now: Millis) -> Option<Millis> {
+    /// Returns the time since a source of cached state was last contacted, `None` if it never was.
+    pub fn source_age(&self, source: &str, now: Millis) -> Option<Millis> {
         let contacts = self.contacts.lock().expect("no panic under this lock");
-        contacts.get(belief).map(|at| now - *at)
+        contacts.get(source).map(|at| now - *at)
     }
 
-    /// Notes a lease that was taken.
+    /// Records the fencing token of a lease that was acquired.
     pub fn record_lease(&self, token: u64) {
         self.lease_token.set(i64::try_from(token).unwrap_or(i64::MAX));
     }
 
-    /// Returns the label of a service. Beyond a number of services, all share one.
+    /// Returns the label of a service. If more than `MAX_SERVICES` are declared, all share one label.
     pub fn service_label(&self, service: &str, declared: usize) -> String {
         if declared > MAX_SERVICES { "other".to_owned() } else { service.to_owned() }
     }
@@ -317,14 +317,14 @@
         let (suspected, quarantined) = gateway.suspects().counts(now);
         self.suspected_requests.set(suspected as i64);
         self.quarantined_requests.set(quarantined as i64);
-        for (belief, at) in self.contacts.lock().expect("no panic under this lock").iter() {
-            self.belief_age_ms.get_or_create(&label(belief)).set((now - *at).0 as i64);
+        for (source, at) in self.contacts.lock().expect("no panic under this lock").iter() {
+            self.belief_age_ms.get_or_create(&label(source)).set((now - *at).0 as i64);
         }
         if let Some(config) = gateway.config() {
             self.config_version.set(config.version as i64);
             self.refresh_services(gateway, &config, now);
         }
-        // Upstreams come and go; what is not listed any more leaves no series behind.
+        // Clears the series first, so that upstreams that are no longer listed leave none behind.
         let families =
             [&self.upstream_in_flight, &self.upstream_reading_ms, &self.upstream_ejected];
         families.iter().for_each(|family| family.clear());
--- a/crates/anvilhook-gateway/src/peers/notices.rs
+++ b/crates/anvilhook-gateway/src/peers/notices.rs
@@ -135,7 +135,7 @@
             }
             // What another zone tells bears the number of who tells it on, and would count as one more.
             NoticeKind::Error if digest.scope == Scope::Instance => {
-                gateway.note_error(upstream, digest.from, false);
+                gateway.record_engine_error(upstream, digest.from, false);
             }
             NoticeKind::Error => {}
             NoticeKind::Changing { role, left_ms } => {
--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -176,7 +176,7 @@
             // An engine that fails every request at once looks idle and would attract more and more requests.
             Ok(answer) if answer.status().is_server_error() && sending.role.is_some() => {
                 state.ejection().record_failure(now);
-                self.note_error(sending.upstream, self.peers().number(), true);
+                self.record_engine_error(sending.upstream, self.peers().number(), true);
                 self.peers().announce();
             }
             Ok(_) => state.ejection().record_success(now),
@@ -461,7 +461,7 @@
 
     /// Records that an instance has received an error from an engine. Once several instances have, all of
     /// them eject the engine for a while, unless too many engines are ejected already.
-    pub fn note_error(&self, upstream: &Upstream, instance: u64, is_own: bool) {
+    pub fn record_engine_error(&self, upstream: &Upstream, instance: u64, is_own: bool) {
         let now = self.now();
         let Some(pause) = upstream.state.record_error(instance, is_own, now) else { return };
         let view = self.fleet().view();
--- a/crates/anvilhook-gateway/src/relay/examining.rs
+++ b/crates/anvilhook-gateway/src/relay/examining.rs
@@ -77,7 +77,7 @@
                     exchange.trial = self.suspects().begin_trial(request, now);
                 }
                 let may_try = exchange.trial.is_some() && left > 0;
-                (!may_try).then(|| self.abandoned(exchange, "on_trial", TRIAL_PAUSE))
+                (!may_try).then(|| self.abandoned_outcome(exchange, "on_trial", TRIAL_PAUSE))
             }
         }
     }
--- a/crates/anvilhook-gateway/src/relay/generating.rs
+++ b/crates/anvilhook-gateway/src/relay/generating.rs
@@ -11,7 +11,7 @@
 use super::Gateway;
 use super::attempts::{Failed, Sending};
 use super::handles::KvHandle;
-use super::prompts::{Job, Opened, REFUSED_PAUSE, Tried};
+use super::prompts::{Job, Opened, REFUSED_PAUSE, TryResult};
 use super::requests::Exchange;
 use super::resumption::Relay;
 use super::waiting::Wait;
@@ -54,7 +54,7 @@
         generator: Generator,
         handle: Option<KvHandle<W, C>>,
         wait: Wait,
-    ) -> Tried<Opened> {
+    ) -> TryResult<Opened> {
         let work = match &handle {
             Some(handle) => GenerateWork {
                 wait,
@@ -107,7 +107,7 @@
         exchange: &mut Exchange,
         resume_after: Option<u64>,
         avoid: &mut Vec<Arc<str>>,
-    ) -> Tried<Opened> {
+    ) -> TryResult<Opened> {
         let Some(upstream) = self.choose_plain(exchange, avoid) else {
             return Ok(Err(Failed::not_sent("no_upstream")));
         };
@@ -133,12 +133,12 @@
         work: GenerateWork,
         mut extra: Vec<(HeaderName, HeaderValue)>,
         resume_after: Option<u64>,
-    ) -> Tried<Opened> {
+    ) -> TryResult<Opened> {
         if let Some(refusal) = self.check_quarantine(exchange) {
             return Err(refusal);
         }
         let Some(arrival) = self.admit_attempt(&exchange.service, &mut exchange.was_sent) else {
-            return Err(self.abandoned(exchange, "retry_budget", REFUSED_PAUSE));
+            return Err(self.abandoned_outcome(exchange, "retry_budget", REFUSED_PAUSE));
         };
         if let Some(event) = resume_after {
             extra.push((self.wire().headers().last_event_id.clone(), HeaderValue::from(event)));
--- a/crates/anvilhook-gateway/src/relay/mod.rs
+++ b/crates/anvilhook-gateway/src/relay/mod.rs
@@ -376,15 +376,20 @@
         // Once the instance's work ends, no new attempt may start, so the end is polled first.
         let served = tokio::select! {
             biased;
-            () = self.ended() => return self.abandoned(exchange, STOPPING, Millis::ZERO),
+            () = self.ended() => return self.abandoned_outcome(exchange, STOPPING, Millis::ZERO),
             served = tokio::time::timeout(limit.as_duration(), serving) => served,
         };
         // The timeout has dropped the attempt in progress, together with its connection.
-        served.unwrap_or_else(|_elapsed| self.abandoned(exchange, "timeout", TIMEOUT_PAUSE))
+        served.unwrap_or_else(|_elapsed| self.abandoned_outcome(exchange, "timeout", TIMEOUT_PAUSE))
     }
 
     /// Returns the answer for a request that is abandoned: a refusal only if it has not run.
-    fn abandoned(&self, exchange: &Exchange, cause: &'static str, pause: Millis) -> Outcome {
+    fn abandoned_outcome(
+        &self,
+        exchange: &Exchange,
+        cause: &'static str,
+        pause: Millis,
+    ) -> Outcome {
         if !exchange.may_have_run {
             Outcome::refused(cause, pause)
         } else if exchange.time_left(self.now()) == Millis::ZERO {
@@ -396,10 +401,15 @@
 
     /// Returns the answer for a request that no upstream accepts. If all upstreams that could serve it have
     /// asked for a pause, the answer names the time at which the first of them accepts requests again.
-    fn no_upstream(&self, exchange: &Exchange, cause: &'static str, pause: Millis) -> Outcome {
+    fn no_upstream_outcome(
+        &self,
+        exchange: &Exchange,
+        cause: &'static str,
+        pause: Millis,
+    ) -> Outcome {
         match self.soonest_pause(&exchange.service) {
-            Some(soonest) => self.abandoned(exchange, "upstreams_paused", soonest),
-            None => self.abandoned(exchange, cause, pause),
+            Some(soonest) => self.abandoned_outcome(exchange, "upstreams_paused", soonest),
+            None => self.abandoned_outcome(exchange, cause, pause),
         }
     }
 
--- a/crates/anvilhook-gateway/src/relay/plain.rs
+++ b/crates/anvilhook-gateway/src/relay/plain.rs
@@ -82,8 +82,8 @@
         }
         match last_answer {
             Some(answer) => Outcome::Whole(answer),
-            None if last_cause == STOPPING => self.abandoned(exchange, last_cause, pause),
-            None => self.no_upstream(exchange, last_cause, pause),
+            None if last_cause == STOPPING => self.abandoned_outcome(exchange, last_cause, pause),
+            None => self.no_upstream_outcome(exchange, last_cause, pause),
         }
     }
 
--- a/crates/anvilhook-gateway/src/relay/prompts.rs
+++ b/crates/anvilhook-gateway/src/relay/prompts.rs
@@ -14,7 +14,7 @@
 use super::requests::Exchange;
 use super::resumption::Relay;
 use super::stopping::STOPPING;
-use super::waiting::Waited;
+use super::waiting::WaitOutcome;
 use crate::configs::EngineSpec;
 use crate::placements::{Placer, Plan, Request};
 use crate::prompts::{Part, Prompt};
@@ -44,9 +44,9 @@
     Answer(WholeAnswer),
 }
 
-/// `Tried` is the result of one try. After the inner error another try may follow; the outer error is the
+/// `TryResult` is the result of one try. After the inner error another try may follow; the outer error is the
 /// request's final answer.
-pub(super) type Tried<T> = Result<Result<T, Failed>, Outcome>;
+pub(super) type TryResult<T> = Result<Result<T, Failed>, Outcome>;
 
 /// `Job` holds what all steps of one try at opening a stream share.
 pub(super) struct Job<'a> {
@@ -118,7 +118,7 @@
                 Contact::Refused | Contact::None => unreached += 1,
             }
             if is_final || repeats > MAX_REPEATS || unreached > MAX_UNREACHED {
-                let outcome = self.no_upstream(exchange, failed.cause, REFUSED_PAUSE);
+                let outcome = self.no_upstream_outcome(exchange, failed.cause, REFUSED_PAUSE);
                 return last_answer.map(Opened::Answer).ok_or(outcome);
             }
         }
@@ -137,16 +137,16 @@
         exchange: &mut Exchange,
         resume_after: Option<u64>,
         avoid: &mut Vec<Arc<str>>,
-    ) -> Tried<Opened> {
+    ) -> TryResult<Opened> {
         let Some(config) = self.config() else {
-            return Err(self.abandoned(exchange, "no_configuration", REFUSED_PAUSE));
+            return Err(self.abandoned_outcome(exchange, "no_configuration", REFUSED_PAUSE));
         };
         exchange.refresh(&config);
         let engine = config.service(&exchange.service).and_then(|spec| spec.engine.clone());
         let prompt = exchange.prompt.clone();
         let (Some(engine), Some(prompt)) = (engine, prompt) else {
             if resume_after.is_none() && self.may_be_interrupted(exchange) {
-                return Err(self.abandoned(exchange, STOPPING, Millis::ZERO));
+                return Err(self.abandoned_outcome(exchange, STOPPING, Millis::ZERO));
             }
             return self.stream_plainly(exchange, resume_after, avoid).await;
         };
@@ -156,15 +156,21 @@
             job.avoid.clear();
         }
         let (plan, wait) = match self.wait_for_reader(exchange, &job).await {
-            Waited::Sent(plan, wait) => (plan, wait),
-            Waited::NoEngine => return Err(self.no_upstream(exchange, "no_engine", REFUSED_PAUSE)),
-            Waited::Hopeless => return Err(self.abandoned(exchange, "overload", REFUSED_PAUSE)),
-            Waited::Stopping => return Err(self.abandoned(exchange, STOPPING, Millis::ZERO)),
-            Waited::Moved => return Ok(Err(Failed::not_sent("moved"))),
+            WaitOutcome::Send(plan, wait) => (plan, wait),
+            WaitOutcome::NoEngine => {
+                return Err(self.no_upstream_outcome(exchange, "no_engine", REFUSED_PAUSE));
+            }
+            WaitOutcome::Hopeless => {
+                return Err(self.abandoned_outcome(exchange, "overload", REFUSED_PAUSE));
+            }
+            WaitOutcome::Stopping => {
+                return Err(self.abandoned_outcome(exchange, STOPPING, Millis::ZERO));
+            }
+            WaitOutcome::Moved => return Ok(Err(Failed::not_sent("moved"))),
         };
         let time_left = exchange.time_left(self.now());
         if plan.first_token_ms() > time_left.0 as f64 {
-            return Err(self.abandoned(exchange, "overload", REFUSED_PAUSE));
+            return Err(self.abandoned_outcome(exchange, "overload", REFUSED_PAUSE));
         }
         let reader = match plan {
             Plan::Direct(generator) => {
@@ -179,13 +185,17 @@
 
         // The generating engine is chosen by the state that is current once the prompt has been read.
         match self.wait_for_generator(exchange, &job, handle.upstream()).await {
-            Waited::Sent(generator, wait) => {
+            WaitOutcome::Send(generator, wait) => {
                 self.generate(exchange, &mut job, generator, Some(handle), wait).await
             }
-            Waited::NoEngine => Err(self.no_upstream(exchange, "no_engine", REFUSED_PAUSE)),
-            Waited::Hopeless => Err(self.abandoned(exchange, "overload", REFUSED_PAUSE)),
-            Waited::Stopping => Err(self.abandoned(exchange, STOPPING, Millis::ZERO)),
-            Waited::Moved => Ok(Err(Failed::not_sent("moved"))),
+            WaitOutcome::NoEngine => {
+                Err(self.no_upstream_outcome(exchange, "no_engine", REFUSED_PAUSE))
+            }
+            WaitOutcome::Hopeless => {
+                Err(self.abandoned_outcome(exchange, "overload", REFUSED_PAUSE))
+            }
+            WaitOutcome::Stopping => Err(self.abandoned_outcome(exchange, STOPPING, Millis::ZERO)),
+            WaitOutcome::Moved => Ok(Err(Failed::not_sent("moved"))),
         }
     }
 
--- a/crates/anvilhook-gateway/src/relay/reading.rs
+++ b/crates/anvilhook-gateway/src/relay/reading.rs
@@ -11,7 +11,7 @@
 use super::Gateway;
 use super::attempts::{Arrival, Failed, Sending};
 use super::handles::KvHandle;
-use super::prompts::{Job, REFUSED_PAUSE, Tried};
+use super::prompts::{Job, REFUSED_PAUSE, TryResult};
 use super::requests::Exchange;
 use super::waiting::Wait;
 use crate::fleets::Upstream;
@@ -53,12 +53,12 @@
         job: &mut Job<'_>,
         reader: Reader,
         wait: Wait,
-    ) -> Tried<KvHandle<W, C>> {
+    ) -> TryResult<KvHandle<W, C>> {
         if let Some(refusal) = self.check_quarantine(exchange) {
             return Err(refusal);
         }
         let Some(arrival) = self.admit_attempt(&exchange.service, &mut exchange.has_read) else {
-            return Err(self.abandoned(exchange, "retry_budget", REFUSED_PAUSE));
+            return Err(self.abandoned_outcome(exchange, "retry_budget", REFUSED_PAUSE));
         };
         let names = self.wire().headers();
         let mut extra =
--- a/crates/anvilhook-gateway/src/relay/resumption.rs
+++ b/crates/anvilhook-gateway/src/relay/resumption.rs
@@ -119,7 +119,7 @@
     ) -> Response {
         let headers = std::mem::take(&mut self.headers);
         let status = self.status;
-        let passage = Passage {
+        let relayed = RelayedStream {
             began_at: gateway.now(),
             last_event_at: gateway.now(),
             longest_pause: Millis::ZERO,
@@ -131,21 +131,21 @@
             past_limit: 0,
             flight: Arc::new(flight),
         };
-        let frames = stream::unfold(Some(passage), |passage| async move {
-            let mut passage = passage?;
-            match passage.next().await {
+        let frames = stream::unfold(Some(relayed), |relayed| async move {
+            let mut relayed = relayed?;
+            match relayed.next().await {
                 Ok(Some(bytes)) => {
-                    passage.record_event();
-                    let bytes = counted(bytes, Arc::clone(&passage.flight));
-                    Some((Ok(Frame::data(bytes)), Some(passage)))
+                    relayed.record_event();
+                    let bytes = counted(bytes, Arc::clone(&relayed.flight));
+                    Some((Ok(Frame::data(bytes)), Some(relayed)))
                 }
                 Ok(None) => {
-                    passage.outcome = "whole";
-                    passage.gateway.record_completed_run(&passage.exchange);
+                    relayed.outcome = "whole";
+                    relayed.gateway.record_completed_run(&relayed.exchange);
                     None
                 }
                 Err(err) => {
-                    passage.outcome = "cut";
+                    relayed.outcome = "cut";
                     Some((Err(err.into()), None))
                 }
             }
@@ -220,8 +220,8 @@
     }
 }
 
-/// `Passage` is a relay together with its request and the state of the response.
-struct Passage<W: Wire, C: Clock> {
+/// `RelayedStream` is a relay together with its request and the state of the response.
+struct RelayedStream<W: Wire, C: Clock> {
     relay: Relay,
     gateway: Gateway<W, C>,
     exchange: Exchange,
@@ -236,7 +236,7 @@
     flight: Arc<Flight<W, C>>,
 }
 
-impl<W: Wire, C: Clock> Drop for Passage<W, C> {
+impl<W: Wire, C: Clock> Drop for RelayedStream<W, C> {
     fn drop(&mut self) {
         let took_ms = (self.gateway.now() - self.exchange.arrived_at).0;
         let is_stopped = self.outcome == "left" && self.gateway.has_ended();
@@ -248,7 +248,7 @@
     }
 }
 
-impl<W: Wire, C: Clock> Passage<W, C> {
+impl<W: Wire, C: Clock> RelayedStream<W, C> {
     /// Updates the estimate of output times, if the stream was complete and not resumed.
     fn learn_output(&self, took_ms: u64) {
         let Some(prompt) = &self.exchange.prompt else { return };
--- a/crates/anvilhook-gateway/src/relay/waiting.rs
+++ b/crates/anvilhook-gateway/src/relay/waiting.rs
@@ -34,10 +34,10 @@
     pub const NONE: Wait = Wait { held: Millis::ZERO, pace: Pace::Free };
 }
 
-/// `Waited` is the outcome of waiting.
-pub(super) enum Waited<T> {
+/// `WaitOutcome` is the outcome of waiting.
+pub(super) enum WaitOutcome<T> {
     /// The request is to be sent at once, by the given plan.
-    Sent(T, Wait),
+    Send(T, Wait),
     /// No engine can serve the request.
     NoEngine,
     /// The request can no longer be answered before its caller leaves.
@@ -54,20 +54,20 @@
         &self,
         exchange: &mut Exchange,
         job: &Job<'_>,
-    ) -> Waited<Plan> {
+    ) -> WaitOutcome<Plan> {
         let began_at = self.now();
         loop {
             if let Some(stopped) = self.reason_not_to_wait(exchange, job) {
                 return stopped;
             }
-            let Some(plan) = self.plan(exchange, job) else { return Waited::NoEngine };
-            let Plan::Split(reader) = &plan else { return Waited::Sent(plan, Wait::NONE) };
+            let Some(plan) = self.plan(exchange, job) else { return WaitOutcome::NoEngine };
+            let Plan::Split(reader) = &plan else { return WaitOutcome::Send(plan, Wait::NONE) };
             let waiting = exchange.waiting(self.now());
             let pace = pace_reading(&waiting, reader.reading_ms, reader.backlog_ms, job.tightest);
             match pace {
                 Pace::Hold => {}
-                Pace::Hopeless => return Waited::Hopeless,
-                pace => return Waited::Sent(plan, Wait { held: self.now() - began_at, pace }),
+                Pace::Hopeless => return WaitOutcome::Hopeless,
+                pace => return WaitOutcome::Send(plan, Wait { held: self.now() - began_at, pace }),
             }
             let pause_ms = reader.backlog_ms * PAUSE_BACKLOG_SHARE;
             pause(pause_ms.clamp(MIN_PAUSE_MS, MAX_PAUSE_MS)).await;
@@ -82,7 +82,7 @@
         exchange: &mut Exchange,
         job: &Job<'_>,
         reader: &Upstream,
-    ) -> Waited<Generator> {
+    ) -> WaitOutcome<Generator> {
         let began_at = self.now();
         let mut slot_request = None;
         loop {
@@ -91,7 +91,7 @@
             }
             let chosen = self
                 .with_placer(exchange, |placer| placer.generator(&job.request(exchange), reader));
-            let Some(generator) = chosen else { return Waited::NoEngine };
+            let Some(generator) = chosen else { return WaitOutcome::NoEngine };
             let slots = Slots {
                 slots: generator.upstream.entry.slots,
                 in_flight: generator.upstream.state.work(self.now()).in_flight,
@@ -101,8 +101,13 @@
             let pace = pace_generating(&waiting, generator.fetched_ms, output_ms, slots);
             match pace {
                 Pace::Hold => {}
-                Pace::Hopeless => return Waited::Hopeless,
-                pace => return Waited::Sent(generator, Wait { held: self.now() - began_at, pace }),
+                Pace::Hopeless => return WaitOutcome::Hopeless,
+                pace => {
+                    return WaitOutcome::Send(
+                        generator,
+                        Wait { held: self.now() - began_at, pace },
+                    );
+                }
             }
             slot_request.get_or_insert_with(|| self.inner.speeds.request_slot(&exchange.service));
             pause(MIN_PAUSE_MS).await;
@@ -110,14 +115,18 @@
     }
 
     /// Returns why a request must neither wait longer nor be sent, or `None` if it still may.
-    fn reason_not_to_wait<T>(&self, exchange: &mut Exchange, job: &Job<'_>) -> Option<Waited<T>> {
+    fn reason_not_to_wait<T>(
+        &self,
+        exchange: &mut Exchange,
+        job: &Job<'_>,
+    ) -> Option<WaitOutcome<T>> {
         if self.has_moved(exchange) {
-            return Some(Waited::Moved);
+            return Some(WaitOutcome::Moved);
         }
         // The signal to stop may have arrived while the request waited. A broken stream is resumed all the
         // same, as it would otherwise remain truncated.
         let is_refused = job.resume_after.is_none() && self.may_be_interrupted(exchange);
-        is_refused.then_some(Waited::Stopping)
+        is_refused.then_some(WaitOutcome::Stopping)
     }
 
     /// Looks up the request's service again. Returns whether it has changed.
--- a/crates/anvilhook-gateway/src/streams.rs
+++ b/crates/anvilhook-gateway/src/streams.rs
@@ -1,23 +1,23 @@
-//! Streams of numbered events, cut out of an answer's bytes.
+//! Splits the bytes of an answer into numbered events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes that one event may have.
+/// The maximum size of one event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
 /// `StreamEvent` is one whole event.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct StreamEvent {
-    /// The event's number, if it bears one.
+    /// The event's number, if it has one.
     pub id: Option<u64>,
-    /// The event as it came, with the empty line that ends it.
+    /// The event as received, including the empty line that ends it.
     pub bytes: Bytes,
 }
 
-/// `EventSplitter` cuts events out of bytes that come in any pieces.
+/// `EventSplitter` splits bytes that arrive in pieces of any size into events.
 ///
-/// An engine that crashes may stop in the middle of an event; what was cut off is never passed on,
-/// because the caller could not tell it from a whole one.
+/// An engine that crashes may stop in the middle of an event. A truncated event is never forwarded, because
+/// the caller could not distinguish it from a whole one.
 ///
 /// ```
 /// use anvilhook_gateway::streams::EventSplitter;
@@ -35,17 +35,17 @@
 }
 
 impl EventSplitter {
-    /// Makes a splitter without bytes.
+    /// Creates an empty splitter.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes bytes in.
+    /// Appends received bytes.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buf.extend_from_slice(bytes);
     }
 
-    /// Returns the next whole event.
+    /// Removes and returns the next whole event, if there is one.
     pub fn next_event(&mut self) -> Option<StreamEvent> {
         let end = self.event_end()?;
         self.searched = 0;
@@ -53,12 +53,12 @@
         Some(StreamEvent { id: event_id(&bytes), bytes })
     }
 
-    /// Returns whether no bytes are left over.
+    /// Returns whether no bytes remain.
     pub fn is_empty(&self) -> bool {
         self.buf.is_empty()
     }
 
-    /// Returns whether the bytes held can't be an event any more.
+    /// Returns whether the remaining bytes exceed the maximum size of an event.
     pub fn is_too_large(&self) -> bool {
         self.buf.len() > MAX_EVENT_BYTES
     }
--- a/crates/anvilhook-gateway/src/wires.rs
+++ b/crates/anvilhook-gateway/src/wires.rs
@@ -1,4 +1,4 @@
-//! How a deployment spells what the gateway says and hears.
+//! The message formats of a deployment: headers, table rows and calls to upstreams.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -17,40 +17,40 @@
 pub struct HeaderNames {
     /// The caller's id of a request.
     pub request_id: HeaderName,
-    /// The time that the caller waits.
+    /// The time until the caller's deadline.
     pub deadline: HeaderName,
     /// The upstream's signature of an answer.
     pub signature: HeaderName,
-    /// The upstream that a request is meant for.
+    /// The upstream for which a request is intended.
     pub expect_instance: HeaderName,
     /// The upstream that answered.
     pub instance: HeaderName,
-    /// Says that the upstream did not run the request.
+    /// Indicates that the upstream did not run the request.
     pub not_run: HeaderName,
     /// The upstream's load.
     pub load: HeaderName,
-    /// The last event that a stream's caller has.
+    /// The last event that the caller of a stream has received.
     pub last_event_id: HeaderName,
-    /// Asks an engine for one stage of the work.
+    /// Requests only one stage of the work from an engine.
     pub stage: HeaderName,
     /// The handle from which an engine fetches a prompt's KV cache.
     pub kv_source: HeaderName,
-    /// The engine from which another may fetch what it keeps of a prompt.
+    /// The engine from which another one may fetch the cached part of a prompt.
     pub kv_fetch: HeaderName,
     /// The urgency of a request at an engine.
     pub priority: HeaderName,
     /// The name of the caller's client account.
     pub account: HeaderName,
-    /// Says in an upstream's answer that it is leaving.
+    /// Indicates in an upstream's answer that the upstream is leaving.
     pub leaving: HeaderName,
-    /// All headers that a caller may not set; they are taken off its request.
+    /// All headers that a caller may not set; they are removed from its request.
     pub reserved: Vec<HeaderName>,
 }
 
-/// `DecodeError` is a message of the platform that can't be read.
+/// `DecodeError` describes why a message of the platform can't be decoded.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DecodeError {
-    /// Where in the message the fault is.
+    /// The field of the message that is wrong.
     pub field: String,
     /// What is wrong.
     pub message: String,
@@ -64,44 +64,44 @@
 
 impl std::error::Error for DecodeError {}
 
-/// `Load` is what an upstream says of its load in an answer.
+/// `Load` is the load that an upstream reports in an answer.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Load {
-    /// Requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// The number of waiting requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// The number of requests that can run at once.
     pub slots: u32,
 }
 
-/// `RoleOrder` asks an engine to change its role.
+/// `RoleOrder` orders an engine to change its role.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RoleOrder {
-    /// The role to take.
+    /// The new role.
     pub role: Role,
-    /// Who gives the order.
+    /// The holder of the lease, which gives the order.
     pub holder: String,
     /// The fencing token of its lease.
     pub fencing_token: u64,
-    /// The number of orders that the engine must have taken so far, if it is known.
+    /// The number of orders that the engine must have accepted so far, if it is known.
     pub expected: Option<u64>,
 }
 
-/// `OrderAnswer` is what an engine says to an order.
+/// `OrderAnswer` is an engine's answer to an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderAnswer {
-    /// It is being carried out, or holds already.
+    /// The order is being carried out, or the engine already has the role.
     Taken,
-    /// Another order is in progress, or another came before.
+    /// Another order is in progress or was accepted first.
     Busy,
     /// A newer holder has given orders.
     Fenced,
-    /// The engine is another one, or does not know the order.
+    /// Another engine answered, or the engine does not know the order.
     Refused,
 }
 
-/// `Call` is a request of the gateway's own to an upstream.
+/// `Call` is a request that the gateway itself makes to an upstream.
 #[derive(Clone, Debug)]
 pub struct Call {
     /// The method.
@@ -112,25 +112,25 @@
     pub body: Option<Vec<u8>>,
 }
 
-/// `EngineReport` is what an engine reports of itself on demand.
+/// `EngineReport` is what an engine reports about itself on demand.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineReport {
     /// Its role.
     pub role: Role,
     /// Whether an order is in progress.
     pub busy: bool,
-    /// The number of orders that it has taken.
+    /// The number of orders that it has accepted.
     pub orders: u64,
-    /// When this start of it was, if it says so.
+    /// When the engine was started, if it is reported.
     pub born: Option<u64>,
-    /// Requests that wait to be run.
+    /// The number of requests that wait to run.
     pub waiting: u32,
-    /// The ids of the requests that run, if it says them.
+    /// The ids of the running requests, if they are reported.
     pub runs: Option<Vec<String>>,
 }
 
 impl EngineReport {
-    /// Returns whether the engine may still work on a request that was sent a while ago.
+    /// Returns whether the engine may still work on a request that was sent to it earlier.
     ///
     /// ```
     /// use anvilhook_core::orders::Role;
@@ -148,39 +148,39 @@
     }
 }
 
-/// `Wire` spells and reads the messages of one deployment. It decides nothing.
+/// `Wire` encodes and decodes the messages of one deployment. It makes no decisions.
 pub trait Wire: Clone + Send + Sync + 'static {
     /// Returns the names of the headers.
     fn headers(&self) -> &HeaderNames;
 
-    /// Returns the table of the configuration and the key of its row.
+    /// Returns the configuration's table and the key of its row.
     fn config_row(&self) -> (&'static str, &'static str);
 
-    /// Returns the table of the upstreams' entries.
+    /// Returns the table that holds the upstreams' entries.
     fn upstream_table(&self) -> &'static str;
 
-    /// Reads a configuration.
+    /// Decodes a configuration.
     fn config(&self, value: &[u8]) -> Result<Config, DecodeError>;
 
-    /// Reads an upstream's entry.
+    /// Decodes an upstream's entry.
     fn entry(&self, key: &str, value: &[u8]) -> Result<Entry, DecodeError>;
 
-    /// Reads what a request says of its prompt.
+    /// Decodes the description of a request's prompt.
     fn prompt(&self, headers: &HeaderMap) -> Option<Prompt>;
 
-    /// Returns whether an answer with these headers says that its upstream leaves.
+    /// Returns whether an answer with these headers indicates that its upstream is leaving.
     fn says_leaving(&self, headers: &HeaderMap) -> bool;
 
-    /// Reads an upstream's load.
+    /// Decodes an upstream's load.
     fn load(&self, value: &HeaderValue) -> Option<Load>;
 
-    /// Returns the value that asks an engine only to read the prompt.
+    /// Returns the value that requests an engine only to read the prompt (prefill).
     fn prefill_stage(&self) -> HeaderValue;
 
-    /// Reads the handle in the answer of an engine that has read a prompt.
+    /// Decodes the handle in the answer of an engine that has read a prompt.
     fn prefill_handle(&self, body: &[u8]) -> Result<String, DecodeError>;
 
-    /// Returns the value that names a KV handle at an engine.
+    /// Returns the value that identifies a KV handle at an engine.
     fn kv_source(&self, address: SocketAddr, handle: &str) -> HeaderValue;
 
     /// Returns the call that frees a KV handle.
@@ -189,21 +189,21 @@
     /// Returns the call that gives an order.
     fn order(&self, order: &RoleOrder) -> Call;
 
-    /// Reads the status of an answer to an order.
+    /// Decodes the status of an answer to an order.
     fn order_answer(&self, status: http::StatusCode) -> OrderAnswer;
 
-    /// Returns the call for what an engine's cache holds.
+    /// Returns the call that lists the content of an engine's cache.
     fn cache_list(&self) -> Call;
 
-    /// Reads what an engine's cache holds.
+    /// Decodes the content of an engine's cache.
     fn cached_parts(&self, body: &[u8]) -> Result<Vec<Part>, DecodeError>;
 
-    /// Returns the call for an engine's report.
+    /// Returns the call that requests an engine's report.
     fn report(&self) -> Call;
 
-    /// Reads an engine's report.
+    /// Decodes an engine's report.
     fn engine_report(&self, body: &[u8]) -> Result<EngineReport, DecodeError>;
 
-    /// Returns how long is left of the caller's time, from the header's value.
+    /// Decodes the time until the caller's deadline from the header's value.
     fn time_left(&self, value: &HeaderValue) -> Option<Millis>;
 }
--- a/crates/anvilhook-gateway/tests/peers.rs
+++ b/crates/anvilhook-gateway/tests/peers.rs
@@ -278,7 +278,7 @@
         engine(one, id).state.is_healthy(anvilhook_core::units::Clock::now(&one.clock))
     };
     let get_error = |one: &Instance, number, id: &str| {
-        one.gateway.note_error(&engine(one, id), number, true);
+        one.gateway.record_engine_error(&engine(one, id), number, true);
         one.gateway.peers().announce();
     };
 
