--- a/crates/anvilhook-gateway/src/relay/answers.rs
+++ b/crates/anvilhook-gateway/src/relay/answers.rs
@@ -42,17 +42,17 @@
 }
 
 impl Outcome {
-    /// Creates an answer that the request has not run and never will, with the time until a retry.
+    /// Creates an answer that reports that the request has not run and never will, and when to retry.
     pub fn refused(reason: &'static str, retry_after: Millis) -> Self {
         Outcome::Own(OwnAnswer::refused(reason, retry_after))
     }
 
-    /// Creates an answer that the request failed. Only the status may indicate whether it has run.
+    /// Creates an answer that reports a failed request. Only the status may indicate whether it has run.
     pub fn failed(status: StatusCode, reason: &'static str) -> Self {
         Outcome::Own(OwnAnswer::failed(status, reason))
     }
 
-    /// Creates an answer that the request failed and may have run.
+    /// Creates an answer that reports that the request failed and may have run.
     pub fn may_have_run(reason: &'static str) -> Self {
         Self::failed(StatusCode::BAD_GATEWAY, reason)
     }
@@ -114,13 +114,13 @@
 }
 
 impl OwnAnswer {
-    /// Creates an answer that the request has not run and never will, with the time until a retry.
+    /// Creates an answer that reports that the request has not run and never will, and when to retry.
     pub fn refused(reason: &'static str, retry_after: Millis) -> Self {
         let status = StatusCode::SERVICE_UNAVAILABLE;
         Self { status, reason, retry_after: Some(retry_after) }
     }
 
-    /// Creates an answer that the request failed. Only the status may indicate whether it has run.
+    /// Creates an answer that reports a failed request. Only the status may indicate whether it has run.
     pub fn failed(status: StatusCode, reason: &'static str) -> Self {
         Self { status, reason, retry_after: None }
     }
--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -363,7 +363,7 @@
             return Err(Failed::refusal("misdirected"));
         }
         if headers.contains_key(&names.not_run) {
-            // An engine with free slots refuses because it changes its role, which the instance list
+            // An engine with free slots refuses because it changes its role, which the upstream table
             // does not show yet. Further requests to it would only use up the retry budget.
             let now = self.now();
             let has_source = sending.source.is_some();
@@ -381,7 +381,7 @@
         Ok(answer)
     }
 
-    /// Records that an engine has the other role, as it refused a request because of its role.
+    /// Records that an engine has the role other than the expected one, because it refused a request for that.
     fn record_wrong_role(&self, exchange: &Exchange, sending: &Sending<'_>) {
         let upstream = sending.upstream;
         let role = match sending.role {
--- a/crates/anvilhook-gateway/src/relay/examining.rs
+++ b/crates/anvilhook-gateway/src/relay/examining.rs
@@ -94,7 +94,7 @@
             FailureSignal::TimedOut => Interruption::Silent,
             FailureSignal::None => return,
         };
-        // An engine that leaves terminates on its own account, not because of a request.
+        // An engine that leaves terminates anyway, not because of a request.
         if upstream.is_leaving() {
             return;
         }
@@ -155,7 +155,7 @@
         }
     }
 
-    /// Returns what the instance list shows of an engine that accepts connections.
+    /// Returns what the upstream table shows of an engine that accepts connections.
     fn liveness_by_entry(&self, upstream: &Upstream) -> Liveness {
         match self.has_started_again(upstream) {
             true => Liveness::Ended(Evidence::Restarted),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Returns what the instance list shows of an engine that does not answer. The entry of a frozen engine
+    /// Returns what the upstream table shows of an engine that does not answer. The entry of a frozen engine
     /// is removed as well, but its connections do not break.
     fn liveness_without_answer(&self, upstream: &Upstream) -> Liveness {
         let is_listed = self.fleet().view().get(&upstream.entry.id).is_some();
