--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -381,7 +381,7 @@
         Ok(answer)
     }
 
-    /// Records that an engine has the role other than the expected one, because it refused a request for that.
+    /// Records that an engine has the other role: it refused a request because of its current one.
     fn record_wrong_role(&self, exchange: &Exchange, sending: &Sending<'_>) {
         let upstream = sending.upstream;
         let role = match sending.role {
