--- a/crates/anvilhook-bench/src/policy/policies.rs
+++ b/crates/anvilhook-bench/src/policy/policies.rs
@@ -54,9 +54,9 @@
     pub fn options(self) -> CostOptions {
         match self {
             HolderRule::Turnaround => {
-                CostOptions { homes: 0, work_weight: 0.0, ..CostOptions::default() }
+                CostOptions { preferred_engines: 0, work_weight: 0.0, ..CostOptions::default() }
             }
-            _ => CostOptions { homes: 1, ..CostOptions::default() },
+            _ => CostOptions { preferred_engines: 1, ..CostOptions::default() },
         }
     }
 
@@ -125,8 +125,8 @@
             Self { name: "without-admission", admission: false, ..ours },
             Self { name: "without-lanes", lanes: false, ..ours },
             Self { name: "without-planner", planning: Planning::Fixed(Split::default()), ..ours },
-            cost("without-homes", CostOptions { homes: 0, ..usual }),
-            cost("with-one-home", CostOptions { homes: 1, ..usual }),
+            cost("without-homes", CostOptions { preferred_engines: 0, ..usual }),
+            cost("with-one-home", CostOptions { preferred_engines: 1, ..usual }),
             cost("without-work-weight", CostOptions { work_weight: 0.0, ..usual }),
             cost("with-all-sampled", CostOptions { sampled: 12, ..usual }),
             cost("with-two-sampled", CostOptions { sampled: 2, ..usual }),
--- a/crates/anvilhook-core/src/ranks.rs
+++ b/crates/anvilhook-core/src/ranks.rs
@@ -1,16 +1,18 @@
-//! Which instance acts for others: tells for its availability zone, or follows a table for it.
+//! Ranks instances to select the one that publishes updates or follows a table for its availability zone.
 //!
-//! The load that this answers: instances whose links differ by twenty times. Whoever tells for its zone
-//! sends each of dozens of others some datagrams ten times a second. On a slow link that takes all the
-//! room, and requests that wait behind it reach engines after their callers have left.
+//! Designed for: instances whose link speeds differ by a factor of twenty. The leader of a zone sends
+//! datagrams to each of dozens of other instances ten times a second. On a slow link these take all of
+//! the bandwidth, and requests queued behind them reach engines after their callers have left.
 
-/// The bits of a number below the width of its instance's link.
+/// The number of random bits, which are below the bits of the link's speed class.
 const RANDOM_BITS: u32 = 56;
 
-/// Returns the number of an instance with a link of `link_mbps` megabits a second, if that is known:
-/// the width of the link, doubled at each step, before 56 random bits.
+/// Returns the number of an instance whose link has `link_mbps` megabits per second, if that is known.
+/// The upper bits are the speed class of the link, where each class has twice the speed of the one
+/// before; the lower 56 bits are random.
 ///
-/// All instances derive the ranks from the numbers that they hear, so that they agree without a word.
+/// All instances derive the ranks from the numbers that they receive, so that they agree without
+/// coordination.
 ///
 /// ```
 /// use anvilhook_core::ranks::{number_of, rank_of};
@@ -19,14 +21,15 @@
 /// assert!(rank_of(fast, 0) > rank_of(slow, u64::MAX));
 /// ```
 pub fn number_of(link_mbps: Option<f64>, random: u64) -> u64 {
-    let width = link_mbps
+    let class = link_mbps
         .filter(|mbps| *mbps >= 1.0)
         .map_or(0, |mbps| (mbps.log2() as u64).saturating_add(1));
-    (width.min(u64::from(u8::MAX)) << RANDOM_BITS) | (random >> u8::BITS)
+    (class.min(u64::from(u8::MAX)) << RANDOM_BITS) | (random >> u8::BITS)
 }
 
-/// Returns the rank of the instance with a number, for the matter that `hash` mixes with the number: the
-/// highest acts. Of instances with links of the same width another one acts in each matter.
+/// Returns the rank of the instance with a number for one task; the instance with the highest rank acts.
+/// `hash` is a hash of the number and the task, so that among links of the same class different tasks
+/// select different instances.
 pub fn rank_of(number: u64, hash: u64) -> u64 {
     (number >> RANDOM_BITS << RANDOM_BITS) | (hash >> u8::BITS)
 }
--- a/crates/anvilhook-core/src/retries.rs
+++ b/crates/anvilhook-core/src/retries.rs
@@ -1,17 +1,18 @@
-//! The retry budget, which keeps retries from multiplying an overload.
+//! The retry budget prevents retries from multiplying an overload.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The budget counts in thousandths of a retry, so that a share of one success can be added.
+/// One retry in the unit of the budget, thousandths, so that the share that one success earns can be
+/// added.
 const MILLI_RETRY: u64 = 1_000;
 
-/// `RetryBudgetOptions` says how many retries may be made.
+/// `RetryBudgetOptions` bounds the number of retries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetOptions {
     /// Retries earned by one success, from 0 to 1.
     pub share: f64,
-    /// The most retries that can be saved up. It also bounds how old the successes are that a
-    /// retry is paid with. A new budget starts with this many.
+    /// The maximum number of saved retries, and the number in a new budget. It also bounds the age of
+    /// the successes that a retry is paid with.
     pub max_saved: u32,
 }
 
@@ -23,9 +24,9 @@
 
 /// `RetryBudget` allows retries as a share of recent successes.
 ///
-/// Without it an upstream that fails under load would get each failed request again, and so more
-/// load the more it fails. One would notice attempts growing while answers shrink. Here retries end
-/// when successes do.
+/// Without a budget, an upstream that fails under load would get every failed request again, and
+/// therefore more load the more it fails: the number of attempts would grow while the number of answers
+/// shrinks. With the budget, retries end when successes end.
 ///
 /// ```
 /// use anvilhook_core::retries::{RetryBudget, RetryBudgetOptions};
@@ -45,27 +46,27 @@
 }
 
 impl RetryBudget {
-    /// Makes a full budget.
+    /// Creates a full budget.
     pub fn new(options: &RetryBudgetOptions) -> Self {
         let max_saved = u64::from(options.max_saved) * MILLI_RETRY;
         let earned_by_success = (options.share.clamp(0.0, 1.0) * MILLI_RETRY as f64) as u64;
         Self { earned_by_success, max_saved, saved: AtomicU64::new(max_saved) }
     }
 
-    /// Counts a whole answer.
+    /// Records a complete answer.
     pub fn record_success(&self) {
         let earn = |saved: u64| Some((saved + self.earned_by_success).min(self.max_saved));
         let _ = self.saved.fetch_update(Ordering::AcqRel, Ordering::Acquire, earn);
     }
 
-    /// Takes one retry out of the budget. Returns false if there is none, and then the failure has
-    /// to be passed on with its verdict.
+    /// Takes one retry out of the budget. Returns false if there is none; the caller must then return
+    /// the failure with its verdict.
     pub fn try_take(&self) -> bool {
         let take = |saved: u64| saved.checked_sub(MILLI_RETRY);
         self.saved.fetch_update(Ordering::AcqRel, Ordering::Acquire, take).is_ok()
     }
 
-    /// Returns how many retries could be made now.
+    /// Returns the number of retries that are available now.
     pub fn saved(&self) -> u64 {
         self.saved.load(Ordering::Acquire) / MILLI_RETRY
     }
--- a/crates/anvilhook-core/src/roles/capacities.rs
+++ b/crates/anvilhook-core/src/roles/capacities.rs
@@ -1,21 +1,21 @@
-//! How much of some work a pool can carry with given roles.
+//! Calculates how much of some work a pool can serve with given roles.
 
 use super::meters::{Flow, ObservedWork};
 use crate::orders::Role;
 use crate::routing::Speeds;
 
-/// The steps in which the share of requests that are split over two engines is searched.
+/// The number of steps in which the best share of requests to split over two engines is searched.
 const SPLIT_STEPS: u32 = 4;
 
-/// The utilization above which some requests end late, since arrivals are uneven.
+/// The utilization above which some requests complete late, since arrivals are uneven.
 const FULL_UTILIZATION: f64 = 0.92;
 
-/// `RoleCounts` is how many engines of a pool hold each role.
+/// `RoleCounts` holds the number of engines of a pool in each role.
 #[derive(Clone, Copy, Debug, Default, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct RoleCounts {
-    /// Engines that read prompts.
+    /// Engines that only read prompts.
     pub prefill: usize,
-    /// Engines that generate.
+    /// Engines that only generate.
     pub decode: usize,
     /// Engines that do both.
     pub mixed: usize,
@@ -27,7 +27,7 @@
         self.prefill + self.decode + self.mixed
     }
 
-    /// Returns the engines of a role.
+    /// Returns the number of engines in a role.
     pub fn of(&self, role: Role) -> usize {
         match role {
             Role::Prefill => self.prefill,
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Sets the engines of a role.
+    /// Sets the number of engines in a role.
     pub fn set(&mut self, role: Role, engines: usize) {
         match role {
             Role::Prefill => self.prefill = engines,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Counts one more engine of a role.
+    /// Counts one more engine in a role.
     pub fn add(&mut self, role: Role) {
         match role {
             Role::Prefill => self.prefill += 1,
@@ -54,23 +54,23 @@
         }
     }
 
-    /// Returns how many engines change their role on the way to other counts.
+    /// Returns how many engines have to change their role to reach other counts.
     pub fn changes_to(&self, to: &RoleCounts) -> usize {
         let gained = |role: Role| to.of(role).saturating_sub(self.of(role));
         gained(Role::Prefill) + gained(Role::Decode) + gained(Role::Mixed)
     }
 }
 
-/// `PoolShape` is what the engines of a pool can do.
+/// `PoolShape` describes the capabilities of the engines of a pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolShape {
     /// The speeds of one engine.
     pub speeds: Speeds,
     /// Prompt tokens read in one step of the batch.
     pub prefill_chunk: f64,
-    /// Tokens of an imported KV cache that one step of the batch takes.
+    /// Tokens of a KV cache imported in one step of the batch.
     pub import_chunk: f64,
-    /// The time between two tokens that tight requests can bear, in milliseconds.
+    /// The maximum time between two tokens for requests with tight deadlines, in milliseconds.
     pub tight_gap_ms: f64,
 }
 
@@ -87,14 +87,15 @@
 }
 
 impl PoolShape {
-    /// Returns the time between two tokens on an engine that reads prompts beside a full batch.
+    /// Returns the time between two tokens, in milliseconds, on an engine that reads prompts in
+    /// addition to running a full batch.
     pub fn mixed_step_ms(&self) -> f64 {
         let speeds = &self.speeds;
         speeds.step_ms(speeds.max_batch) + self.prefill_chunk / speeds.prefill_tokens_per_ms
     }
 
-    /// Returns the greatest utilization of any role, where requests are split over two engines as
-    /// suits best. At 1 every engine of that role is busy all the time.
+    /// Returns the greatest utilization of any role, with the best shares of requests split over two
+    /// engines. At 1 every engine of that role is busy all the time.
     pub fn utilization(&self, counts: &RoleCounts, seen: &ObservedWork) -> f64 {
         let steps = || (0..=SPLIT_STEPS).map(|step| f64::from(step) / f64::from(SPLIT_STEPS));
         let mut least = f64::INFINITY;
@@ -106,7 +107,7 @@
         least
     }
 
-    /// Returns the share, from 0 to 1, of the work that the pool carries in time.
+    /// Returns the share, from 0 to 1, of the work that the pool completes in time.
     ///
     /// ```
     /// use anvilhook_core::roles::{Flow, PoolShape, RoleCounts, ObservedWork};
@@ -123,8 +124,8 @@
         if utilization <= FULL_UTILIZATION { 1.0 } else { FULL_UTILIZATION / utilization }
     }
 
-    /// Returns the greatest utilization if the given shares of the patient and the tight requests
-    /// are split over two engines.
+    /// Returns the greatest utilization of any role if the given shares of the patient and the tight
+    /// requests are split over two engines.
     fn utilization_of(
         &self,
         counts: &RoleCounts,
@@ -132,30 +133,31 @@
         patient: f64,
         tight: f64,
     ) -> f64 {
-        let apart = seen.patient.times(patient).plus(seen.tight.times(tight));
+        let split = seen.patient.times(patient).plus(seen.tight.times(tight));
         let mixed_ms = self.mixed_ms(&seen.patient.times(1.0 - patient))
             + self.tight_mixed_ms(&seen.tight.times(1.0 - tight));
-        let of = |busy_ms: f64, engines: usize| match (busy_ms > 0.0, engines) {
+        let busy_share = |busy_ms: f64, engines: usize| match (busy_ms > 0.0, engines) {
             (false, _) => 0.0,
             (true, 0) => f64::INFINITY,
             (true, engines) => busy_ms / 1_000.0 / engines as f64,
         };
-        of(apart.prefill / self.speeds.prefill_tokens_per_ms, counts.prefill)
-            .max(of(self.decode_ms(&apart), counts.decode))
-            .max(of(mixed_ms, counts.mixed))
+        busy_share(split.prefill / self.speeds.prefill_tokens_per_ms, counts.prefill)
+            .max(busy_share(self.decode_ms(&split), counts.decode))
+            .max(busy_share(mixed_ms, counts.mixed))
     }
 
-    /// Returns the engine time in a second that generating takes where nothing is read. Each step
-    /// imports one piece of a KV cache at most, so that long prompts take steps of their own.
+    /// Returns the engine time per second, in milliseconds, to generate the flow's output on engines
+    /// that read no prompts. Each step imports at most one chunk of a KV cache, so long prompts need
+    /// additional steps.
     pub fn decode_ms(&self, flow: &Flow) -> f64 {
         let speeds = &self.speeds;
         let steps = (flow.prompt / self.import_chunk).max(flow.output / speeds.max_batch);
         steps * speeds.decode_step_ms + flow.output * speeds.decode_step_per_request_ms
     }
 
-    /// Returns the engine time in a second that a flow takes on mixed engines of its own. Every
-    /// step pays the base of a decode step; there are as many as the prompts' pieces or the
-    /// outputs' full batches ask for.
+    /// Returns the engine time per second, in milliseconds, of a flow that has mixed engines to itself.
+    /// Every step costs the base time of a decode step. The number of steps is the number of prompt
+    /// chunks or of full batches of output tokens, whichever is greater.
     pub fn mixed_ms(&self, flow: &Flow) -> f64 {
         let speeds = &self.speeds;
         let steps = (flow.prefill / self.prefill_chunk).max(flow.output / speeds.max_batch);
@@ -164,12 +166,12 @@
             + flow.output * speeds.decode_step_per_request_ms
     }
 
-    /// Returns the engine time in a second that a tight flow takes on mixed engines of its own. On
-    /// top of `mixed_ms` it takes enough engines that reading prompts does not stretch the time
-    /// between two tokens beyond what can be borne.
+    /// Returns the engine time per second, in milliseconds, of a tight flow that has mixed engines to
+    /// itself. It is at least `mixed_ms`, and covers enough engines to keep the time between two tokens
+    /// within `tight_gap_ms` although prompts are read.
     pub fn tight_mixed_ms(&self, flow: &Flow) -> f64 {
         let speeds = &self.speeds;
-        // With n engines each reads for reading / n of the time and runs output * gap / n requests:
+        // With n engines, each reads for reading / n of the time and runs output * gap / n requests:
         // step + per_request * output * gap / n <= gap * (1 - reading / n), solved for n.
         let gap = self.tight_gap_ms;
         let reading = flow.prefill / speeds.prefill_tokens_per_ms / 1_000.0;
--- a/crates/anvilhook-core/src/roles/meters.rs
+++ b/crates/anvilhook-core/src/roles/meters.rs
@@ -1,4 +1,4 @@
-//! Counting the work that was seen.
+//! Counts the work that callers request.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -7,10 +7,10 @@
 use crate::routing::Work;
 use crate::units::{Millis, Tokens};
 
-/// `Flow` is work in a second.
+/// `Flow` is an amount of work per second.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct Flow {
-    /// Requests.
+    /// The number of requests.
     pub requests: f64,
     /// Prompt tokens that had to be read.
     pub prefill: f64,
@@ -21,7 +21,7 @@
 }
 
 impl Flow {
-    /// Returns the sum of two flows, as of two instances.
+    /// Returns the sum of two flows, such as those of two instances.
     pub fn plus(self, other: Self) -> Self {
         Self {
             requests: self.requests + other.requests,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns the flow times a factor.
+    /// Returns the flow multiplied by a factor.
     pub fn times(self, factor: f64) -> Self {
         Self {
             requests: self.requests * factor,
@@ -42,22 +42,22 @@
     }
 }
 
-/// `ObservedWork` is the work of a pool over some span, by the slack of its deadlines.
+/// `ObservedWork` is the work of a pool over a time span, divided by how tight its deadlines are.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct ObservedWork {
-    /// Requests that end in time even if prompts are read on their engine all the while.
+    /// Requests that complete in time even if their engine reads prompts all the time.
     pub patient: Flow,
-    /// Requests that do not.
+    /// Requests that would not complete in time then.
     pub tight: Flow,
 }
 
 impl ObservedWork {
-    /// Returns the sum of what two instances saw.
+    /// Returns the sum of the work that two instances observed.
     pub fn plus(self, other: Self) -> Self {
         Self { patient: self.patient.plus(other.patient), tight: self.tight.plus(other.tight) }
     }
 
-    /// Returns the work times a factor.
+    /// Returns the work multiplied by a factor.
     pub fn times(self, factor: f64) -> Self {
         Self { patient: self.patient.times(factor), tight: self.tight.times(factor) }
     }
@@ -91,7 +91,7 @@
     }
 }
 
-/// `WorkMeter` counts, at one instance, the work that was asked of one pool.
+/// `WorkMeter` counts the work that callers of one instance request from one pool.
 ///
 /// ```
 /// use anvilhook_core::roles::WorkMeter;
@@ -112,15 +112,14 @@
 }
 
 impl WorkMeter {
-    /// Counts a request when it is asked for, whether or not it can be admitted: what is refused
-    /// shows what the pool should have been able to do. `uncached` is what had to be read of the
-    /// prompt.
+    /// Counts a request on arrival, whether or not it is admitted, because refused requests show the
+    /// capacity that the pool lacks. `uncached` is the number of prompt tokens that had to be read.
     pub fn record(&self, work: Work, uncached: Tokens) {
         let flow = if work.tight { &self.tight } else { &self.patient };
         flow.record(work, uncached);
     }
 
-    /// Returns the work since the last call, `span` ago.
+    /// Returns the work since the last call, which was `span` ago, and resets the counts.
     pub fn take(&self, span: Millis) -> ObservedWork {
         ObservedWork { patient: self.patient.take(span), tight: self.tight.take(span) }
     }
--- a/crates/anvilhook-core/src/roles/mod.rs
+++ b/crates/anvilhook-core/src/roles/mod.rs
@@ -1,8 +1,8 @@
-//! Role planning: which engines read prompts, which generate and which do both.
+//! Role planning decides which engines read prompts, which generate output and which do both.
 //!
-//! A `WorkMeter` on the request path counts the work; a `RolePlanner` weighs from it whether a
-//! change of roles gains more than it costs. The planner only says which roles should be; carrying
-//! them out, one drained engine after the other, is the work of the engines' authority.
+//! A `WorkMeter` on the request path counts the work. From its figures a `RolePlanner` decides whether
+//! a change of roles gains more than it costs. The planner only returns the roles that engines should
+//! have; the engines' authority applies them by draining one engine after the other.
 
 mod capacities;
 mod meters;
--- a/crates/anvilhook-core/src/roles/planners.rs
+++ b/crates/anvilhook-core/src/roles/planners.rs
@@ -1,4 +1,4 @@
-//! The role planner.
+//! The role planner decides which engines of a pool should change their roles.
 
 use super::capacities::{PoolShape, RoleCounts};
 use super::meters::ObservedWork;
@@ -7,18 +7,19 @@
 use crate::resources::RolePolicy;
 use crate::units::Millis;
 
-/// The number of mixes that are told apart in what was seen, by the share of reading in the work.
+/// The number of mixes of work that the planner distinguishes, by the share of reading in the work.
 const MIX_BINS: usize = 12;
 
-/// The number of counts per role that are weighed at most. A greater pool is planned in steps.
+/// The maximum number of counts per role that are evaluated. A larger pool is planned in greater steps.
 const STEPS_PER_ROLE: usize = 12;
 
-/// `RoleBounds` are the fewest and most engines of each role, as `RoleSpec` resources declare them.
+/// `RoleBounds` holds the minimum and maximum number of engines in each role, as declared by
+/// `RoleSpec` resources.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RoleBounds {
-    /// The fewest.
+    /// The minimum.
     pub min: RoleCounts,
-    /// The most.
+    /// The maximum.
     pub max: RoleCounts,
 }
 
@@ -37,28 +38,28 @@
     }
 }
 
-/// `PlanOptions` says how the planner weighs.
+/// `PlanOptions` holds the parameters of the planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlanOptions {
     /// The pool's policy.
     pub policy: RolePolicy,
     /// The bounds on roles.
     pub bounds: RoleBounds,
-    /// What the engines can do.
+    /// The capabilities of the engines.
     pub shape: PoolShape,
-    /// How long a change takes an engine out of service, its drain included.
+    /// How long a change takes an engine out of service, including its drain.
     pub change: Millis,
-    /// The time for which a plan is made.
+    /// The time for which the planner plans ahead.
     pub horizon: Millis,
-    /// The time over which what was seen loses its weight.
+    /// The time constant with which observed work loses its weight.
     pub memory: Millis,
-    /// The least gain of a plan above its cost, as a share of all that the pool could do until the
-    /// horizon. It should exceed the error of the pool's model, or the planner acts on noise.
+    /// The minimum gain of a plan above its cost, as a share of all the work that the pool could do
+    /// until the horizon. It should exceed the error of the pool's model, or the planner acts on noise.
     pub min_gain_share: f64,
 }
 
 impl PlanOptions {
-    /// Returns the usual options for a pool's policy.
+    /// Returns the default options for a pool's policy.
     pub fn new(policy: RolePolicy) -> Self {
         Self {
             policy,
@@ -72,22 +73,22 @@
     }
 }
 
-/// `EngineRole` is an engine as the planner sees it.
+/// `EngineRole` is the state of an engine that the planner uses.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineRole {
     /// The engine.
     pub name: UpstreamName,
-    /// Its role, or the one that it is changing to.
+    /// Its role, or the role that it is changing to.
     pub role: Role,
     /// Whether it is being drained for a change or carrying it out.
     pub changing: bool,
-    /// Whether it serves, or will after its change. Withdrawn and dead engines don't.
+    /// Whether it serves, or will serve after its change. Withdrawn and dead engines do not.
     pub serving: bool,
-    /// When its role changed last.
+    /// When its role last changed.
     pub changed_at: Option<Millis>,
 }
 
-/// `RoleChange` is one role that should change.
+/// `RoleChange` is a role change that an engine should make.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RoleChange {
     /// The engine.
@@ -96,7 +97,7 @@
     pub role: Role,
 }
 
-/// What was seen of one mix, with a weight that fades.
+/// `Remembered` is the average work observed under one mix, with a weight that decays.
 #[derive(Clone, Copy, Debug, Default)]
 struct Remembered {
     weight: f64,
@@ -105,10 +106,10 @@
 
 /// `RolePlanner` plans the roles of one pool.
 ///
-/// Counts of roles are valued by the work that they carry: first under the present mix, for as
-/// long as it is expected to last, and then under the mixes that were seen before, each by the
-/// time that it lasted. A mix is expected to last as long again as it has lasted. So a mix that
-/// comes and goes within minutes cannot pay for a change; one that stays can.
+/// Role counts are valued by the work that the pool completes with them: first under the present mix,
+/// for as long as it is expected to last, and then under the earlier mixes, each weighted by how long
+/// it lasted. A mix is expected to last as long again as it has lasted already. A mix that lasts only
+/// minutes can therefore not pay for a change, but a lasting one can.
 #[derive(Clone, Debug)]
 pub struct RolePlanner {
     options: PlanOptions,
@@ -120,7 +121,7 @@
 }
 
 impl RolePlanner {
-    /// Makes a planner that has seen nothing.
+    /// Creates a planner without any observed work.
     pub fn new(options: PlanOptions) -> Self {
         Self {
             options,
@@ -132,15 +133,15 @@
         }
     }
 
-    /// Takes in the work of the pool, summed over all instances, since the last call.
+    /// Records the work of the pool since the last call, summed over all instances.
     pub fn observe(&mut self, seen: &ObservedWork, now: Millis) {
         let span_s = self.observed_at.map_or(1.0, |at| (now - at).as_secs_f64());
         self.observed_at = Some(now);
-        let fade = (-span_s / self.options.memory.as_secs_f64()).exp();
-        self.remembered.iter_mut().for_each(|mix| mix.weight *= fade);
+        let decay = (-span_s / self.options.memory.as_secs_f64()).exp();
+        self.remembered.iter_mut().for_each(|mix| mix.weight *= decay);
 
         let mix = self.mix_of(seen);
-        // Uneven arrivals move the mix to and fro between neighbours.
+        // Uneven arrivals move the mix back and forth between neighbouring bins.
         if mix.abs_diff(self.present_mix) > 1 {
             self.present_mix = mix;
             self.since = now;
@@ -167,34 +168,35 @@
         serving.clone().for_each(|engine| current.add(engine.role));
         let target = self.target(&current, now);
 
-        // At least one engine may change, or a small pool never could.
+        // At least one engine may change, since a small pool could otherwise never change.
         let total = current.total();
         let at_once = ((total as f64 * policy.max_changing_share) as usize).max(1);
         let changing = serving.filter(|engine| engine.changing).count();
-        self.steps(engines, &current, &target, at_once.saturating_sub(changing), now)
+        self.next_changes(engines, &current, &target, at_once.saturating_sub(changing), now)
     }
 
-    /// Returns the counts that are worth the most above the cost of changing to them.
+    /// Returns the counts with the greatest value net of the cost of changing to them.
     pub fn target(&self, current: &RoleCounts, now: Millis) -> RoleCounts {
         let present_value = self.value(current, now);
         let mut best = *current;
-        let all = current.total() as f64 * self.options.horizon.as_secs_f64();
-        let mut most = self.options.min_gain_share * all;
+        let capacity = current.total() as f64 * self.options.horizon.as_secs_f64();
+        let mut max_net = self.options.min_gain_share * capacity;
         for counts in candidates(current.total()) {
             if counts == *current || !self.options.bounds.allow(&counts) {
                 continue;
             }
             let gain = self.value(&counts, now) - present_value;
             let net = gain - self.cost(current.changes_to(&counts));
-            if net > most {
-                most = net;
+            if net > max_net {
+                max_net = net;
                 best = counts;
             }
         }
         best
     }
 
-    /// Returns the work that the counts carry until the horizon, in engine seconds.
+    /// Returns the work that the pool completes in time with these counts until the horizon, in engine
+    /// seconds.
     fn value(&self, counts: &RoleCounts, now: Millis) -> f64 {
         let shape = &self.options.shape;
         let horizon_s = self.options.horizon.as_secs_f64();
@@ -206,18 +208,18 @@
         let shares = known.map(|mix| mix.weight * shape.served_share(counts, &mix.seen));
         let usual = shares.sum::<f64>() / weights.max(1e-9);
 
-        // What was seen for a short time says little about the rest of the horizon. That part is
-        // left out of the value of all counts alike.
+        // Observations over a short time are weak evidence for the rest of the horizon. The part that
+        // they don't cover is left out of the value of all counts alike.
         let known = (weights / horizon_s).min(1.0);
         counts.total() as f64 * (lasts_s * present + (horizon_s - lasts_s) * known * usual)
     }
 
-    /// Returns what changing a number of engines costs, in engine seconds.
+    /// Returns the cost of changing the roles of a number of engines, in engine seconds.
     fn cost(&self, changes: usize) -> f64 {
         changes as f64 * self.options.change.as_secs_f64() * self.options.policy.change_weight
     }
 
-    fn steps(
+    fn next_changes(
         &self,
         engines: &[EngineRole],
         current: &RoleCounts,
@@ -225,14 +227,14 @@
         at_most: usize,
         now: Millis,
     ) -> Vec<RoleChange> {
-        let rested = |engine: &&EngineRole| {
+        let can_change = |engine: &&EngineRole| {
             let dwell = self.options.policy.min_dwell_ms;
             engine.serving
                 && !engine.changing
                 && engine.changed_at.is_none_or(|at| now - at >= dwell)
         };
         let mut counts = *current;
-        let mut free: Vec<&EngineRole> = engines.iter().filter(rested).collect();
+        let mut free: Vec<&EngineRole> = engines.iter().filter(can_change).collect();
         free.sort_by_key(|engine| engine.changed_at);
         let mut changes = Vec::new();
         for engine in free {
@@ -242,7 +244,7 @@
             if counts.of(engine.role) <= target.of(engine.role) {
                 continue;
             }
-            let Some(role) = most_wanted(&counts, target) else { break };
+            let Some(role) = furthest_below_target(&counts, target) else { break };
             counts = moved(&counts, engine.role, role);
             changes.push(RoleChange { engine: engine.name.clone(), role });
         }
@@ -259,9 +261,9 @@
     }
 }
 
-/// Returns the role that is furthest from its target count. Engines that only read are of no use
-/// without ones that only generate, so both have to grow together.
-fn most_wanted(counts: &RoleCounts, target: &RoleCounts) -> Option<Role> {
+/// Returns the role that has reached the smallest share of its target count. Engines that only read
+/// are of no use without engines that only generate, so both have to grow together.
+fn furthest_below_target(counts: &RoleCounts, target: &RoleCounts) -> Option<Role> {
     let reached = |role: &Role| counts.of(*role) as f64 / target.of(*role) as f64;
     let roles = [Role::Prefill, Role::Decode, Role::Mixed].into_iter();
     let short = roles.filter(|role| counts.of(*role) < target.of(*role));
@@ -279,8 +281,8 @@
     counts
 }
 
-/// Returns the counts that are weighed for a pool. Engines that only read and ones that only
-/// generate need each other.
+/// Returns the counts that are evaluated for a pool. Engines that only read and engines that only
+/// generate need each other, so either both or neither are present.
 fn candidates(total: usize) -> impl Iterator<Item = RoleCounts> {
     let step = total.div_ceil(STEPS_PER_ROLE).max(1);
     let prefills = (0..=total).step_by(step);
--- a/crates/anvilhook-core/src/routing/costs.rs
+++ b/crates/anvilhook-core/src/routing/costs.rs
@@ -1,6 +1,6 @@
-//! The cost of giving a request to an engine, in milliseconds.
+//! Estimates the cost of sending a request to an engine, in milliseconds.
 
-use super::loads::{LEAST_FREE_SHARE, Load};
+use super::loads::{Load, MIN_FREE_SHARE};
 use super::upstreams::Work;
 use crate::orders::Role;
 use crate::units::Millis;
@@ -10,15 +10,16 @@
 pub enum Phase {
     /// Reading the prompt and generating the output.
     Whole,
-    /// Reading the prompt for another engine.
+    /// Reading (prefilling) the prompt for another engine.
     Prefill,
-    /// Generating the output of a prompt that another engine has read.
+    /// Generating the output for a prompt that another engine has read.
     Decode,
 }
 
 impl Phase {
-    /// Returns whether an engine of the role is given this part. A mixed engine could take any, but
-    /// is given whole requests only: to move a KV cache between two of them gains nothing.
+    /// Returns whether engines with the role are used for this phase. A mixed engine could run any
+    /// phase but gets whole requests only: moving a KV cache between two mixed engines gains
+    /// nothing.
     pub fn fits(self, role: Role) -> bool {
         match role {
             Role::Mixed => self == Phase::Whole,
@@ -28,27 +29,26 @@
     }
 }
 
-/// `CostOptions` weighs the parts of the cost.
+/// `CostOptions` holds the weights and parameters of the cost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CostOptions {
     /// Prompt tokens that an engine reads in one step of its batch.
     pub prefill_chunk: f64,
-    /// The weight of the engine time that a request uses up, against the time that it takes.
+    /// The weight of the engine time that a request uses, relative to the time until its answer.
     pub work_weight: f64,
-    /// The cost of ending late, in milliseconds.
+    /// The cost of missing the deadline, in milliseconds.
     pub late_ms: f64,
-    /// The most engines whose cost is worked out for one choice, besides the believed holders of
-    /// the prompt's prefix.
+    /// The maximum number of engines whose cost is estimated for one choice, in addition to the
+    /// engines that are assumed to hold the prompt's prefix.
     pub sampled: usize,
-    /// The number of engines at which each shared prefix is at home.
-    pub homes: u64,
-    /// The cost of a home other than the first, in milliseconds: keeping a prefix at one more engine
-    /// pushes others out of its cache.
-    pub further_home_ms: f64,
-    /// The time that a KV cache takes from one engine to another, for each prompt token, with its
-    /// import there.
+    /// The number of preferred engines of each shared prefix.
+    pub preferred_engines: u64,
+    /// The cost of a preferred engine other than the first, in milliseconds: caching a prefix on
+    /// one more engine evicts other prefixes there.
+    pub further_preferred_ms: f64,
+    /// The time to transfer a KV cache between engines and to import it, for each prompt token.
     pub transfer_ms_per_token: f64,
-    /// The least gain, in milliseconds, for which a request is split over two engines.
+    /// The minimum gain, in milliseconds, for which a request is split over two engines.
     pub split_gain_ms: f64,
 }
 
@@ -59,39 +59,39 @@
             work_weight: 5.0,
             late_ms: 10_000.0,
             sampled: 6,
-            homes: 2,
-            further_home_ms: 8_000.0,
+            preferred_engines: 2,
+            further_preferred_ms: 8_000.0,
             transfer_ms_per_token: 0.08,
             split_gain_ms: 100.0,
         }
     }
 }
 
-/// `Estimate` is what a request is believed to take on an engine, in milliseconds.
+/// `Estimate` is the estimated duration and engine time of a request on an engine, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Estimate {
-    /// Waiting for a place in the batch and for prompts that go before.
+    /// The wait for a slot in the batch and for the prompts that are read first.
     pub wait_ms: f64,
-    /// Reading what the prefix cache does not hold.
+    /// The time to read the part of the prompt that is not in the prefix cache.
     pub prefill_ms: f64,
-    /// Generating the output at the engine's batch.
+    /// The time to generate the output in the engine's current batch.
     pub decode_ms: f64,
-    /// The engine time that it uses up.
+    /// The engine time that the request uses.
     pub work_ms: f64,
 }
 
 impl Estimate {
-    /// Returns the time to the whole answer.
+    /// Returns the time until the answer is complete.
     pub fn total(&self) -> Millis {
         Millis((self.wait_ms + self.prefill_ms + self.decode_ms) as u64)
     }
 
-    /// Returns the time to the first token.
+    /// Returns the time until the first token.
     pub fn first_token(&self) -> Millis {
         Millis((self.wait_ms + self.prefill_ms) as u64)
     }
 
-    /// Returns the sum of two parts of a request, of which one follows the other.
+    /// Returns the sum of this phase and the phase that follows it.
     pub fn then(&self, next: &Self) -> Self {
         Self {
             wait_ms: self.wait_ms + next.wait_ms,
@@ -101,21 +101,22 @@
         }
     }
 
-    /// Returns the cost that choices compare.
+    /// Returns the cost by which engines are compared.
     ///
-    /// The time that an answer takes counts by the share of the time left that it uses up: a
-    /// request with much time can wait for the engine that does its work with the least effort,
-    /// and so leaves more engine time to all others.
+    /// The duration of an answer is weighted by the share of the remaining time that it uses. A
+    /// request with a late deadline can therefore wait for the engine that needs the least engine
+    /// time for it, which leaves more engine time for other requests.
     pub fn cost(&self, options: &CostOptions, time_left: Millis) -> f64 {
-        let takes_ms = self.wait_ms + self.prefill_ms + self.decode_ms;
-        let used = takes_ms / (time_left.0 as f64).max(1.0);
-        let time_cost = if used <= 1.0 { takes_ms * used } else { takes_ms + options.late_ms };
+        let duration_ms = self.wait_ms + self.prefill_ms + self.decode_ms;
+        let used = duration_ms / (time_left.0 as f64).max(1.0);
+        let time_cost =
+            if used <= 1.0 { duration_ms * used } else { duration_ms + options.late_ms };
         time_cost + options.work_weight * self.work_ms
     }
 }
 
-/// Estimates what the work takes on an engine with the given load. `uncached` is the number of
-/// prompt tokens that have to be read.
+/// Estimates the duration and engine time of the work on an engine with the given load. `uncached`
+/// is the number of prompt tokens that have to be read.
 pub fn estimate(
     options: &CostOptions,
     load: &Load,
@@ -129,25 +130,25 @@
     let running = load.requests.min(speeds.max_batch);
     let step_ms = speeds.step_ms(load.requests + 1.0);
 
-    // Each step that reads a piece of a prompt also gives one token to each running request.
+    // Each step that reads a chunk of a prompt also generates one token for each running request.
     let step_per_token = if running >= 0.5 { step_ms / options.prefill_chunk } else { 0.0 };
     let read_ms = 1.0 / speeds.prefill_tokens_per_ms + step_per_token;
 
-    // While it generates, prompts of later requests are read at about the rate of late.
-    let free_share = (1.0 - load.prefill_share).max(LEAST_FREE_SHARE);
+    // While the request generates, prompts of later requests are read at about the recent rate.
+    let free_share = (1.0 - load.prefill_share).max(MIN_FREE_SHARE);
     let gap_ms = step_ms / free_share;
     let decode_ms = output * gap_ms;
 
-    // With the batch full, a place is free after as many ends as there are requests too many.
-    let too_many = (load.requests + 1.0 - speeds.max_batch).max(0.0);
-    let place_ms = too_many / speeds.max_batch * load.whole_output_each * gap_ms;
+    // With a full batch, a slot is free once as many requests have ended as exceed the batch.
+    let excess = (load.requests + 1.0 - speeds.max_batch).max(0.0);
+    let slot_ms = excess / speeds.max_batch * load.whole_output_each * gap_ms;
 
-    // A step is shared by all that generate in it.
+    // The requests that generate in a step share its time.
     let share_of_step = step_ms / (running + 1.0).max(speeds.max_batch / 2.0);
     let work_ms = reads / speeds.prefill_tokens_per_ms + output * share_of_step;
 
     Estimate {
-        wait_ms: place_ms + load.prefill * read_ms,
+        wait_ms: slot_ms + load.prefill * read_ms,
         prefill_ms: reads * read_ms,
         decode_ms,
         work_ms,
--- a/crates/anvilhook-core/src/routing/loads.rs
+++ b/crates/anvilhook-core/src/routing/loads.rs
@@ -1,4 +1,4 @@
-//! What an instance believes of one engine's load: the last report, and the work sent since.
+//! Estimates an engine's current load from its last report and the work that was sent since.
 
 use std::sync::atomic::{AtomicU8, AtomicU32, AtomicU64, Ordering};
 
@@ -7,23 +7,23 @@
 use crate::reports::LoadReport;
 use crate::units::{Millis, Tokens};
 
-/// The span of one slot of the record of sent work.
-const SLOT: Millis = Millis(256);
+/// The time span of one bucket of the record of sent work.
+const BUCKET_SPAN: Millis = Millis(256);
 
-/// The number of slots. The record reaches back for about eight seconds, longer than reports lag.
-const SLOTS: usize = 32;
+/// The number of buckets. The record covers about eight seconds, more than the lag of reports.
+const BUCKETS: usize = 32;
 
-/// The span of the whole record, in milliseconds.
-const RECORD_MS: f64 = (SLOTS as u64 * SLOT.0) as f64;
+/// The time span of the whole record, in milliseconds.
+const RECORD_MS: f64 = (BUCKETS as u64 * BUCKET_SPAN.0) as f64;
 
-/// The requests whose prompts an engine reads at once, beside those that it reports as queued.
+/// The number of prompts that an engine reads at once, in addition to those reported as queued.
 const PROMPTS_READ_AT_ONCE: f64 = 2.0;
 
-/// The least share of an engine's time that is left for generating, however much it reads.
-pub(super) const LEAST_FREE_SHARE: f64 = 0.1;
+/// The minimum share of an engine's time that remains for generating, however much it reads.
+pub(super) const MIN_FREE_SHARE: f64 = 0.1;
 
-/// Speeds that are assumed until the first report has come.
-const ASSUMED: Speeds = Speeds {
+/// The speeds that are assumed until the first report arrives.
+const ASSUMED_SPEEDS: Speeds = Speeds {
     prefill_tokens_per_ms: 8.0,
     decode_step_ms: 25.0,
     decode_step_per_request_ms: 0.2,
@@ -33,40 +33,41 @@
 /// `Speeds` are an engine's declared speeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speeds {
-    /// Prompt tokens read in a millisecond when nothing else is done.
+    /// Prompt tokens read in a millisecond when the engine does nothing else.
     pub prefill_tokens_per_ms: f64,
     /// Time between two tokens of one request that runs alone.
     pub decode_step_ms: f64,
-    /// How much each further request of the batch adds to that time.
+    /// The time that each further request of the batch adds to it.
     pub decode_step_per_request_ms: f64,
-    /// The most requests that generate at once.
+    /// The maximum number of requests that generate at once.
     pub max_batch: f64,
 }
 
-/// `Load` is the load that an engine is believed to have now.
+/// `Load` is the estimated current load of an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Load {
     /// The engine's speeds.
     pub speeds: Speeds,
     /// Prompt tokens still to be read.
     pub prefill: f64,
-    /// Requests that generate or wait to.
+    /// Requests that generate or wait to generate.
     pub requests: f64,
-    /// Output tokens still to come, on average for each of them.
+    /// Output tokens still to be generated, on average for each of these requests.
     pub output_each: f64,
-    /// Output tokens of a whole request, on average of those sent lately.
+    /// Output tokens of a whole request, on average of recently sent requests.
     pub whole_output_each: f64,
-    /// The share of the engine's time, from 0 to 1, that went into reading prompts lately.
+    /// The share of the engine's time, from 0 to 1, that was recently spent on reading prompts.
     pub prefill_share: f64,
 }
 
-/// One slot of the record of sent work. The sums belong to the slot's present turn. Two of them
-/// share one atomic, so that a choice reads little.
+/// `Bucket` is one bucket of the record of sent work, a ring buffer. Its sums belong to the time
+/// interval whose number it stores. Two sums share one atomic, so that a choice has fewer atomics to
+/// read.
 #[derive(Debug, Default)]
-struct Slot {
-    turn: AtomicU64,
+struct Bucket {
+    interval: AtomicU64,
     prompt: AtomicU64,
-    // Requests in the upper half, output tokens in the lower.
+    // Requests in the upper half, output tokens in the lower half.
     requests: AtomicU64,
 }
 
@@ -86,20 +87,20 @@
     }
 }
 
-impl Slot {
-    /// Empties the slot if it holds an earlier turn.
+impl Bucket {
+    /// Empties the bucket if it holds an earlier interval.
     ///
-    /// Two senders that meet at the start of a turn may lose one of their counts. The estimate is
-    /// then short of one request until the next report; nothing else depends on it.
-    fn turn_to(&self, turn: u64) {
-        if self.turn.swap(turn, Ordering::AcqRel) != turn {
+    /// If two senders record at the start of an interval at the same time, one count may be lost.
+    /// The estimate is then one request too low until the next report; nothing else depends on it.
+    fn advance_to(&self, interval: u64) {
+        if self.interval.swap(interval, Ordering::AcqRel) != interval {
             self.prompt.store(0, Ordering::Release);
             self.requests.store(0, Ordering::Release);
         }
     }
 
     fn add(&self, sums: &SentTotals) {
-        // No one output can run over into the upper half, and no one count beyond it.
+        // Bounded, so that a single output or count cannot overflow its half.
         let output = sums.output.0.min(u64::from(u32::MAX >> 8));
         let requests = sums.requests.min(u64::from(u32::MAX >> 8));
         self.prompt.fetch_add(sums.prompt.0, Ordering::AcqRel);
@@ -117,51 +118,53 @@
 }
 
 /// `LoadView` holds the last report of an engine and the work that this instance and its peers have
-/// sent since, all in atomics. A reader may see halves of two reports; the estimate is then as far
-/// off as the two reports are apart, and the next choice sees the whole.
+/// sent since, all in atomics. A reader may see fields of two reports mixed. The error of the
+/// estimate is then at most the difference between the two, and the next choice sees the whole
+/// report.
 #[derive(Debug)]
 pub(super) struct LoadView {
     role: AtomicU8,
     boot: AtomicU64,
     seq: AtomicU64,
-    taken_at: AtomicU64,
+    reported_at: AtomicU64,
     queued_prefill: AtomicU64,
     queued: AtomicU32,
     running: AtomicU32,
     running_decode: AtomicU64,
     speeds: [AtomicU64; 4],
-    slots: Box<[Slot; SLOTS]>,
+    buckets: Box<[Bucket; BUCKETS]>,
 }
 
 impl LoadView {
-    /// Makes the view of an engine of which nothing is known.
+    /// Creates the view of an engine of which nothing is known.
     pub(super) fn new() -> Self {
-        let speeds = speeds_to_bits(&ASSUMED).map(AtomicU64::new);
+        let speeds = speeds_to_bits(&ASSUMED_SPEEDS).map(AtomicU64::new);
         Self {
             role: AtomicU8::new(role_to_byte(Role::Mixed)),
             boot: AtomicU64::new(0),
             seq: AtomicU64::new(0),
-            taken_at: AtomicU64::new(0),
+            reported_at: AtomicU64::new(0),
             queued_prefill: AtomicU64::new(0),
             queued: AtomicU32::new(0),
             running: AtomicU32::new(0),
             running_decode: AtomicU64::new(0),
             speeds,
-            slots: Box::new(std::array::from_fn(|_| Slot::default())),
+            buckets: Box::new(std::array::from_fn(|_| Bucket::default())),
         }
     }
 
     /// Applies a report unless it is older than the last one. Returns whether it was applied.
     ///
-    /// Numbers begin anew with each start of the engine, so reports of two starts are told apart by
-    /// their times. By their numbers alone a report of the earlier start that a peer passes on late
-    /// would count as the newest until the next one, and lift the mark of an engine that is leaving.
+    /// Report numbers start again whenever the engine restarts, so reports of different starts are
+    /// ordered by their times. If they were ordered by number alone, a report of the earlier start
+    /// that a peer forwards late would count as the newest until the next one, and would clear the
+    /// mark of an engine that is leaving.
     pub(super) fn apply(&self, report: &LoadReport, now: Millis) -> bool {
-        let taken_at = now - report.age;
+        let reported_at = now - report.age;
         let is_older = if self.boot.load(Ordering::Acquire) == report.boot {
             report.seq < self.seq.load(Ordering::Acquire)
         } else {
-            self.has_report() && taken_at < Millis(self.taken_at.load(Ordering::Acquire))
+            self.has_report() && reported_at < Millis(self.reported_at.load(Ordering::Acquire))
         };
         if is_older {
             return false;
@@ -182,7 +185,7 @@
         self.queued.store(report.queued_requests, Ordering::Release);
         self.running.store(report.running_requests, Ordering::Release);
         self.running_decode.store(report.running_decode.0, Ordering::Release);
-        self.taken_at.store(taken_at.0, Ordering::Release);
+        self.reported_at.store(reported_at.0, Ordering::Release);
         true
     }
 
@@ -191,12 +194,12 @@
         self.boot.load(Ordering::Acquire) != 0
     }
 
-    /// Returns the role of the last report, or the one set since.
+    /// Returns the role of the last report, or the role that was set since.
     pub(super) fn role(&self) -> Role {
         role_from_byte(self.role.load(Ordering::Acquire))
     }
 
-    /// Sets the role that the engine is known to have.
+    /// Sets the role that the engine is known to have now.
     pub(super) fn set_role(&self, role: Role) {
         self.role.store(role_to_byte(role), Ordering::Release);
     }
@@ -209,55 +212,56 @@
 
     /// Records the sums of work sent at `at`.
     pub(super) fn record_sums(&self, sums: &SentTotals, at: Millis) {
-        let turn = at.0 / SLOT.0 + 1;
-        let slot = &self.slots[turn as usize % SLOTS];
-        // A digest about a turn that has been overwritten is too old to matter.
-        if slot.turn.load(Ordering::Acquire) > turn {
+        let interval = at.0 / BUCKET_SPAN.0 + 1;
+        let bucket = &self.buckets[interval as usize % BUCKETS];
+        // A digest about an interval that has been overwritten is too old to matter.
+        if bucket.interval.load(Ordering::Acquire) > interval {
             return;
         }
-        slot.turn_to(turn);
-        slot.add(sums);
+        bucket.advance_to(interval);
+        bucket.add(sums);
     }
 
-    /// Estimates the load now.
+    /// Estimates the current load.
     pub(super) fn estimate(&self, now: Millis) -> Load {
         let speeds = self.speeds();
-        let taken_at = Millis(self.taken_at.load(Ordering::Acquire));
+        let reported_at = Millis(self.reported_at.load(Ordering::Acquire));
         let running = f64::from(self.running.load(Ordering::Acquire));
         let running_decode = self.running_decode.load(Ordering::Acquire) as f64;
         let queued = f64::from(self.queued.load(Ordering::Acquire));
 
-        // What was sent before the report was taken is in the report.
-        let last_turn = now.0 / SLOT.0 + 1;
-        let taken_turn = taken_at.0 / SLOT.0 + 1;
-        let first_turn = (last_turn + 1).saturating_sub(SLOTS as u64);
+        // Work that was sent before the report was made is included in the report.
+        let last_interval = now.0 / BUCKET_SPAN.0 + 1;
+        let reported_interval = reported_at.0 / BUCKET_SPAN.0 + 1;
+        let first_interval = (last_interval + 1).saturating_sub(BUCKETS as u64);
         let mut reported = self.queued_prefill.load(Ordering::Acquire) as f64;
         let step_ms = speeds.step_ms(running + queued);
-        let drained_in_slot = SLOT.0 as f64 * speeds.prefill_tokens_per_ms;
+        let drained_per_bucket = BUCKET_SPAN.0 as f64 * speeds.prefill_tokens_per_ms;
         let mut since_report = 0.0;
         let mut read = Sent::default();
         let mut later = Sent::default();
-        for turn in first_turn..=last_turn {
-            let slot = &self.slots[turn as usize % SLOTS];
-            let is_later = turn >= taken_turn;
-            if slot.turn.load(Ordering::Acquire) == turn {
-                let sums = slot.sums();
+        for interval in first_interval..=last_interval {
+            let bucket = &self.buckets[interval as usize % BUCKETS];
+            let is_later = interval >= reported_interval;
+            if bucket.interval.load(Ordering::Acquire) == interval {
+                let sums = bucket.sums();
                 read.add(&sums);
                 if is_later {
                     later.add(&sums);
                     since_report += sums.prompt;
                 }
             }
-            if is_later && turn != last_turn {
-                // What the engine reported goes first.
-                let drained = drained_in_slot.min(reported);
+            if is_later && interval != last_interval {
+                // The engine reads the reported prompts first.
+                let drained = drained_per_bucket.min(reported);
                 reported -= drained;
-                since_report = (since_report + drained - drained_in_slot).max(0.0);
+                since_report = (since_report + drained - drained_per_bucket).max(0.0);
             }
         }
 
-        // An engine counts the whole prompts of those that wait, since it looks for their prefixes
-        // only when they start. Those sent lately tell how much there was to read of each.
+        // An engine counts the whole prompts of waiting requests, since it looks up their cached
+        // prefixes only when they start. The average of recently sent requests shows how much of
+        // each prompt really has to be read.
         if read.requests > 0.0 {
             let each = read.prompt / read.requests;
             reported = reported.min((queued + PROMPTS_READ_AT_ONCE) * each);
@@ -266,17 +270,18 @@
         let prefill_ms = read.prompt.max(prefill) / speeds.prefill_tokens_per_ms;
         let prefill_share = (prefill_ms / RECORD_MS).min(1.0);
 
-        // The engine has gone on since the report was taken. Of what it ran then, the part that
-        // has ended grows evenly until twice the average.
+        // The engine has worked on since the report was made. The share of the then running
+        // requests that has ended is assumed to grow linearly, up to twice the average remaining
+        // time.
         let reported_each = if running > 0.0 { running_decode / running } else { 0.0 };
-        let gap_ms = step_ms / (1.0 - prefill_share).max(LEAST_FREE_SHARE);
+        let gap_ms = step_ms / (1.0 - prefill_share).max(MIN_FREE_SHARE);
         let longest_ms = 2.0 * (reported_each * gap_ms).max(1.0);
-        let ended = running * ((now - taken_at).0 as f64 / longest_ms).min(1.0);
-        let still = running + queued - ended;
-        let requests = still + later.requests;
-        let output = reported_each * still + later.output;
+        let ended = running * ((now - reported_at).0 as f64 / longest_ms).min(1.0);
+        let remaining = running + queued - ended;
+        let requests = remaining + later.requests;
+        let output = reported_each * remaining + later.output;
 
-        // Of a running request, half is still to come on average.
+        // On average, half of the output of a running request is still to be generated.
         let whole_output_each =
             if read.requests > 0.0 { read.output / read.requests } else { 2.0 * reported_each };
         Load {
@@ -302,7 +307,7 @@
 }
 
 impl Speeds {
-    /// Returns the time of one decode step with a number of requests in the batch.
+    /// Returns the duration of one decode step with the given number of requests in the batch.
     pub fn step_ms(&self, requests: f64) -> f64 {
         let others = (requests - 1.0).clamp(0.0, self.max_batch - 1.0);
         self.decode_step_ms + others * self.decode_step_per_request_ms
@@ -313,8 +318,8 @@
         self.max_batch / self.step_ms(self.max_batch)
     }
 
-    /// Returns the least engine time that a request takes, in milliseconds: its uncached prompt
-    /// read alone and its output generated in a full batch.
+    /// Returns the minimum engine time of a request, in milliseconds: its uncached prompt is read
+    /// alone and its output is generated in a full batch.
     ///
     /// ```
     /// use anvilhook_core::routing::Speeds;
--- a/crates/anvilhook-core/src/routing/mod.rs
+++ b/crates/anvilhook-core/src/routing/mod.rs
@@ -1,8 +1,8 @@
 //! Choosing the upstream of a request.
 //!
-//! A `RouteTable` is an immutable snapshot that is replaced as a whole (read-copy-update). What
-//! changes with every request, such as the work in flight, lies in atomics of `UpstreamState`,
-//! which outlives the tables that name it.
+//! A `RouteTable` is an immutable snapshot that is replaced as a whole (read-copy-update). State
+//! that changes with every request, such as the work in flight, is kept in atomics of
+//! `UpstreamState`, which outlives the tables that contain it.
 
 mod costs;
 mod lanes;
--- a/crates/anvilhook-core/src/routing/polls.rs
+++ b/crates/anvilhook-core/src/routing/polls.rs
@@ -1,20 +1,20 @@
-//! Which engines' load reports an instance reads by itself, and when.
+//! Decides which engines an instance polls for load reports itself, and when.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::names::UpstreamName;
 use crate::units::Millis;
 
-/// `PollOptions` bounds what an instance reads by itself.
+/// `PollOptions` bounds the polling of an instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PollOptions {
-    /// How long after the last digest of an engine it counts as missed.
+    /// The time after the last digest of an engine from which the engine counts as missed.
     pub missed_after: Millis,
-    /// The least time between two readings of an engine that others should read.
+    /// The minimum time between two polls of an engine that other instances should poll.
     pub missed_every: Millis,
-    /// The most readings a second of engines that others should read.
+    /// The maximum number of polls per second of engines that other instances should poll.
     pub missed_per_s: u64,
-    /// The most readings under way.
+    /// The maximum number of polls in progress.
     pub at_once: usize,
 }
 
@@ -32,14 +32,15 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Entry {
     is_own: bool,
-    is_under_way: bool,
-    told_at: Option<Millis>,
-    tried_at: Option<Millis>,
+    is_polling: bool,
+    digest_at: Option<Millis>,
+    polled_at: Option<Millis>,
 }
 
-/// `PollSchedule` says which engines are due to be read. Those that this instance reads for all
-/// are due each turn. The others are due only while no digest of them arrives, and at a bounded rate:
-/// an instance whose links are lost would otherwise read the whole fleet as often as its readers do.
+/// `PollSchedule` decides which engines are due to be polled. Engines that this instance polls for
+/// all instances are due on each call. Other engines are due only while no digest about them
+/// arrives, and at a bounded rate: otherwise an instance that has lost its links would poll the whole
+/// fleet as often as the instances that are responsible for it.
 ///
 /// ```
 /// use std::collections::BTreeSet;
@@ -60,19 +61,19 @@
 pub struct PollSchedule {
     options: PollOptions,
     entries: BTreeMap<UpstreamName, Entry>,
-    // Thousandths of readings of missed engines that are left.
+    // The remaining polls of missed engines, in thousandths.
     credit: u64,
     credited_at: Millis,
 }
 
 impl PollSchedule {
-    /// Begins without engines.
+    /// Creates a schedule without engines.
     pub fn new(options: PollOptions) -> Self {
         let credit = options.missed_per_s * 1_000;
         Self { options, entries: BTreeMap::new(), credit, credited_at: Millis::ZERO }
     }
 
-    /// Sets the engines, and those among them that this instance reads for all.
+    /// Sets the engines, and in `own` those that this instance polls for all instances.
     pub fn set_engines<'a>(
         &mut self,
         engines: impl IntoIterator<Item = &'a UpstreamName>,
@@ -86,54 +87,54 @@
         }
     }
 
-    /// Notes that a newer digest of an engine was written at `at`.
+    /// Records that a newer digest about an engine was written at `at`.
     pub fn record_digest(&mut self, engine: &UpstreamName, at: Millis) {
         if let Some(entry) = self.entries.get_mut(engine) {
-            entry.told_at = entry.told_at.max(Some(at));
+            entry.digest_at = entry.digest_at.max(Some(at));
         }
     }
 
-    /// Returns whether this instance reads the engine for all.
+    /// Returns whether this instance polls the engine for all instances.
     pub fn is_own(&self, engine: &UpstreamName) -> bool {
         self.entries.get(engine).is_some_and(|entry| entry.is_own)
     }
 
-    /// Returns the engines to read now, those tried longest ago first. Each counts as being read
-    /// until `ended`.
+    /// Returns the engines to poll now: this instance's own ones first, then by the time of their
+    /// last poll, oldest first. A poll counts as in progress until `ended` is called for its engine.
     pub fn due(&mut self, now: Millis) -> Vec<UpstreamName> {
         self.earn(now);
         let options = self.options;
-        let under_way = self.entries.values().filter(|entry| entry.is_under_way).count();
+        let polling = self.entries.values().filter(|entry| entry.is_polling).count();
         let is_due = |entry: &Entry| {
             let is_late = |at: Option<Millis>, span| at.is_none_or(|at| now - at > span);
-            let is_missed = is_late(entry.told_at, options.missed_after)
-                && is_late(entry.tried_at, options.missed_every);
-            !entry.is_under_way && (entry.is_own || is_missed)
+            let is_missed = is_late(entry.digest_at, options.missed_after)
+                && is_late(entry.polled_at, options.missed_every);
+            !entry.is_polling && (entry.is_own || is_missed)
         };
         let mut due: Vec<_> = self.entries.iter_mut().filter(|(_, entry)| is_due(entry)).collect();
-        // Own ones come first: others wait for them.
-        due.sort_by_key(|(_, entry)| (!entry.is_own, entry.tried_at));
+        // Own engines come first, because other instances wait for their reports.
+        due.sort_by_key(|(_, entry)| (!entry.is_own, entry.polled_at));
 
         let mut chosen = Vec::new();
         for (name, entry) in due {
-            if under_way + chosen.len() >= options.at_once {
+            if polling + chosen.len() >= options.at_once {
                 break;
             }
             if !entry.is_own {
                 let Some(left) = self.credit.checked_sub(1_000) else { break };
                 self.credit = left;
             }
-            entry.is_under_way = true;
-            entry.tried_at = Some(now);
+            entry.is_polling = true;
+            entry.polled_at = Some(now);
             chosen.push(name.clone());
         }
         chosen
     }
 
-    /// Notes that a reading has ended, one way or the other.
+    /// Records that the poll of an engine has ended, successfully or not.
     pub fn ended(&mut self, engine: &UpstreamName) {
         if let Some(entry) = self.entries.get_mut(engine) {
-            entry.is_under_way = false;
+            entry.is_polling = false;
         }
     }
 
--- a/crates/anvilhook-core/src/routing/searches.rs
+++ b/crates/anvilhook-core/src/routing/searches.rs
@@ -1,4 +1,4 @@
-//! One choice of an upstream: which places of the route table are looked at, and what each would cost.
+//! Chooses an upstream: selects the positions of the route table to check and compares their costs.
 
 use std::ops::Range;
 use std::sync::Arc;
@@ -6,7 +6,7 @@
 use rand::{Rng, RngExt};
 
 use super::costs::{Phase, estimate};
-use super::lanes::home;
+use super::lanes::preferred_position;
 use super::tables::{Candidate, RouteRequest, RouteTable};
 use super::upstreams::UpstreamState;
 use crate::caches::{CacheSlot, Holders};
@@ -14,25 +14,27 @@
 use crate::reports::PREFIX_BLOCK_TOKENS;
 use crate::units::{Millis, Tokens};
 
-/// How many upstreams are looked at for each one that is to be sampled. An upstream that takes no
-/// work, or not this phase, uses up a look.
-const LOOKS_PER_SAMPLE: usize = 4;
+/// How many upstreams are checked for each one that is to be sampled. An upstream that accepts no
+/// work, or not this phase, uses up a check.
+const CHECKS_PER_SAMPLE: usize = 4;
 
-/// The time that one open request takes at an upstream that publishes no load.
+/// The assumed duration of one open request at an upstream that publishes no load.
 const ASSUMED_REQUEST_MS: f64 = 5.0;
 
-/// The block that stands for the prefix which a prompt shares with others. The first ones are often
-/// the same for all requests of a service; a prompt that ends before it has little to save.
-const HOME_BLOCK: usize = 4;
+/// The index of the prompt block whose hash selects the preferred engines. The first blocks are often
+/// the same for all requests of a service, and a prompt that ends before this block gains little from
+/// a cache.
+const AFFINITY_BLOCK: usize = 4;
 
-/// `Search` is one choice under way.
+/// `Search` holds the inputs of one choice.
 pub(super) struct Search<'a, 'r> {
     pub table: &'a RouteTable,
     pub phase: Phase,
     pub req: &'r RouteRequest<'r>,
     pub tried: &'r [UpstreamName],
     pub now: Millis,
-    /// Which engines are believed to hold the prompt's prefix, if it is to be read and that is known.
+    /// The engines that are assumed to hold the prompt's prefix, if the phase reads the prompt and
+    /// they are known.
     pub holders: Option<Holders>,
 }
 
@@ -40,7 +42,7 @@
 type Best<'a> = Option<(f64, Candidate<'a>)>;
 
 impl<'a> Search<'a, '_> {
-    /// Returns the upstream at which the work is believed to cost least, of those that are looked at.
+    /// Returns the upstream with the lowest estimated cost among those that are checked.
     pub fn run(&self, rng: &mut impl Rng) -> Option<Candidate<'a>> {
         let count = self.table.upstreams.len();
         let lane = match self.phase {
@@ -48,13 +50,13 @@
             Phase::Prefill | Phase::Decode => 0..count,
         };
         let mut best = None;
-        let at_home = self.add_homes(&mut best, &lane, rng);
+        let has_preferred = self.add_preferred(&mut best, &lane, rng);
         self.add_holders(&mut best, &lane, rng);
-        if !at_home {
+        if !has_preferred {
             self.add_sample(&mut best, lane, rng);
         }
-        // Where hardly any upstream fits, a sample may miss them all; and if all are ejected, one
-        // that may fail is better than none.
+        // If very few upstreams fit, a sample may miss them all. If all of them are ejected, one that
+        // may fail is better than none.
         best.or_else(|| self.first_that_fits(rng)).map(|(_, candidate)| candidate)
     }
 
@@ -65,36 +67,38 @@
         }
         let sampled = self.table.options.sampled.max(1);
         let mut left = sampled;
-        // A run through the lane from a random place, in strides of a random length, looks at
-        // different upstreams each time, so that instances with the same reports don't herd.
-        let mut place = rng.random_range(0..count);
+        // Going through the lane from a random position in strides of a random length checks
+        // different upstreams each time, so that instances with the same reports don't all choose the
+        // same one.
+        let mut position = rng.random_range(0..count);
         let stride = if sampled < count { rng.random_range(1..count) } else { 1 };
-        for _ in 0..(sampled * LOOKS_PER_SAMPLE).min(count) {
-            if self.try_place(best, lane.start + place, 0.0, rng) {
+        for _ in 0..(sampled * CHECKS_PER_SAMPLE).min(count) {
+            if self.try_position(best, lane.start + position, 0.0, rng) {
                 left -= 1;
                 if left == 0 {
                     return;
                 }
             }
-            place = (place + stride) % count;
+            position = (position + stride) % count;
         }
     }
 
-    /// Considers the places at which the prompt's prefix is at home. Returns whether there are any.
+    /// Considers the preferred engines of the prompt's prefix. Returns whether any of them fits.
     ///
-    /// All instances send one prefix to the same few engines, before any of them is known to hold
-    /// it. Spread over more, each prefix would push others out of the caches, and every engine
-    /// would read all of them again and again.
-    fn add_homes(&self, best: &mut Best<'a>, lane: &Range<usize>, rng: &mut impl Rng) -> bool {
-        let Some(block) = self.req.prefix.get(HOME_BLOCK).filter(|_| self.holders.is_some()) else {
+    /// All instances send a prefix to the same few engines, even before any of these is known to
+    /// hold it. If prefixes were spread over more engines, they would evict each other from the
+    /// caches, and every engine would read all of them again and again.
+    fn add_preferred(&self, best: &mut Best<'a>, lane: &Range<usize>, rng: &mut impl Rng) -> bool {
+        let Some(block) = self.req.prefix.get(AFFINITY_BLOCK).filter(|_| self.holders.is_some())
+        else {
             return false;
         };
         let mut any = false;
-        for turn in 0..self.table.options.homes {
-            let place = lane.start + home(*block, turn, lane.len());
-            // A further home is for when the first has too much to do.
-            let extra = if any { self.table.options.further_home_ms } else { 0.0 };
-            any |= self.try_place(best, place, extra, rng);
+        for rank in 0..self.table.options.preferred_engines {
+            let position = lane.start + preferred_position(*block, rank, lane.len());
+            // A further preferred engine is only for the time when the first one is overloaded.
+            let extra = if any { self.table.options.further_preferred_ms } else { 0.0 };
+            any |= self.try_position(best, position, extra, rng);
         }
         any
     }
@@ -102,24 +106,25 @@
     fn add_holders(&self, best: &mut Best<'a>, lane: &Range<usize>, rng: &mut impl Rng) {
         let Some(known) = &self.holders else { return };
         for holder in known.as_slice() {
-            let place = self.table.by_slot.get(usize::from(holder.slot.0));
-            let place = place.map(|place| *place as usize);
-            if let Some(place) = place.filter(|place| lane.contains(place)) {
-                self.try_place(best, place, 0.0, rng);
+            let position = self.table.by_slot.get(usize::from(holder.slot.0));
+            let position = position.map(|position| *position as usize);
+            if let Some(position) = position.filter(|position| lane.contains(position)) {
+                self.try_position(best, position, 0.0, rng);
             }
         }
     }
 
-    /// Considers a place if its upstream fits. Returns whether it does.
-    fn try_place(
+    /// Considers the upstream at a position if it fits and is healthy. Returns whether it was
+    /// considered.
+    fn try_position(
         &self,
         best: &mut Best<'a>,
-        place: usize,
+        position: usize,
         extra_ms: f64,
         rng: &mut impl Rng,
     ) -> bool {
-        let Some(upstream) = self.table.upstreams.get(place) else { return false };
-        let fits = self.fits(upstream) && self.is_well(upstream, rng);
+        let Some(upstream) = self.table.upstreams.get(position) else { return false };
+        let fits = self.fits(upstream) && self.is_healthy(upstream, rng);
         if fits {
             self.consider(best, upstream, extra_ms);
         }
@@ -145,7 +150,7 @@
         let load = upstream.load(self.now);
         let options = &self.table.options;
         let mut estimate = estimate(options, &load, self.phase, self.req.work, uncached.0 as f64);
-        // Of an upstream that publishes no report only this instance's own requests are known.
+        // For an upstream that publishes no report, only this instance's own requests are known.
         if !upstream.has_report() {
             estimate.wait_ms += upstream.open_requests() as f64 * ASSUMED_REQUEST_MS;
         }
@@ -161,7 +166,7 @@
             && !self.tried.contains(upstream.name())
     }
 
-    fn is_well(&self, upstream: &UpstreamState, rng: &mut impl Rng) -> bool {
+    fn is_healthy(&self, upstream: &UpstreamState, rng: &mut impl Rng) -> bool {
         let share = upstream.ejection().share(self.now);
         share >= 1.0 || (share > 0.0 && rng.random_bool(share))
     }
--- a/crates/anvilhook-core/src/routing/tables.rs
+++ b/crates/anvilhook-core/src/routing/tables.rs
@@ -1,4 +1,5 @@
-//! The route table: which upstreams may answer, and on how many of them a request should run.
+//! The route table holds the upstreams of a service and decides whether a request runs on one of
+//! them or is split over two.
 
 use std::sync::Arc;
 
@@ -13,35 +14,35 @@
 use crate::reports::PrefixHash;
 use crate::units::{Millis, Tokens};
 
-/// No place in the table.
-const NOWHERE: u32 = u32::MAX;
+/// Marks a cache slot that has no position in the table.
+const NO_POSITION: u32 = u32::MAX;
 
-/// `RouteRequest` is what the choice needs to know of a request.
+/// `RouteRequest` holds the properties of a request that its placement depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct RouteRequest<'a> {
-    /// What the request asks of an engine.
+    /// The work that the request needs from an engine.
     pub work: Work,
-    /// The blocks of its prompt, each hash standing for all blocks up to it.
+    /// The blocks of its prompt; each hash covers all blocks up to its own.
     pub prefix: &'a [PrefixHash],
-    /// When its answer must be whole, on the instance's clock.
+    /// When its answer must be complete, on the instance's clock.
     pub deadline: Millis,
-    /// Its priority; the smaller goes first.
+    /// Its priority; a lower number goes first.
     pub priority: u8,
 }
 
-/// `Candidate` is an upstream with what the request is believed to take there.
+/// `Candidate` is an upstream with the estimate of the request there.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The upstream.
     pub upstream: &'a Arc<UpstreamState>,
-    /// What the request takes there.
+    /// The estimated duration and engine time of the request there.
     pub estimate: Estimate,
     /// The prompt tokens that have to be read there.
     pub uncached: Tokens,
 }
 
 impl Candidate<'_> {
-    /// Returns the work to count in at the upstream.
+    /// Returns the work to record at the upstream for this phase.
     pub fn work(&self, phase: Phase, work: Work) -> Work {
         match phase {
             Phase::Whole => Work { prompt: self.uncached, ..work },
@@ -51,22 +52,22 @@
     }
 }
 
-/// `Placement` is where a request should run.
+/// `Placement` says where a request should run.
 #[derive(Clone, Copy, Debug)]
 pub enum Placement<'a> {
-    /// All of it on one engine.
+    /// The whole request runs on one engine.
     Whole(Candidate<'a>),
-    /// The prompt on one engine. The one that generates is chosen when the prompt has been read.
+    /// One engine reads the prompt. The engine that generates is chosen once the prompt is read.
     Split {
         /// The engine that reads the prompt.
         prefill: Candidate<'a>,
-        /// What generating is believed to take afterwards.
+        /// The estimate of generating the output afterwards.
         decode: Estimate,
     },
 }
 
 impl Placement<'_> {
-    /// Returns the time to the whole answer.
+    /// Returns the estimated time until the answer is complete.
     pub fn total(&self) -> Millis {
         match self {
             Placement::Whole(whole) => whole.estimate.total(),
@@ -75,38 +76,38 @@
     }
 }
 
-/// `RouteTable` is the immutable set of upstreams that can answer a service.
+/// `RouteTable` is the immutable set of upstreams that can answer requests of a service.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     pub(super) upstreams: Arc<[Arc<UpstreamState>]>,
     pub(super) options: CostOptions,
     prefixes: Option<Arc<PrefixIndex>>,
-    // The place of each upstream by its slot of the prefix index.
+    // The position of each upstream, by its slot in the prefix index.
     pub(super) by_slot: Arc<[u32]>,
     pub(super) lanes: Arc<Lanes>,
 }
 
 impl RouteTable {
-    /// Makes a table of the given upstreams.
+    /// Creates a table of the given upstreams.
     pub fn new(upstreams: impl IntoIterator<Item = Arc<UpstreamState>>) -> Self {
         let upstreams = upstreams.into_iter().collect();
         Self { upstreams, ..Self::default() }
     }
 
-    /// Returns the table with other weights of the cost.
+    /// Returns the table with other cost options.
     pub fn with_options(mut self, options: CostOptions) -> Self {
         self.options = options;
         self
     }
 
-    /// Returns the table with knowledge of prefixes, for the upstreams that have a cache slot.
+    /// Returns the table with a prefix index, which covers the upstreams that have a cache slot.
     pub fn with_prefixes(mut self, prefixes: Arc<PrefixIndex>) -> Self {
         let slots = || self.upstreams.iter().map(|upstream| upstream.cache_slot());
         let size = slots().flatten().map(|slot| usize::from(slot.0) + 1).max().unwrap_or(0);
-        let mut by_slot = vec![NOWHERE; size];
-        for (place, slot) in slots().enumerate() {
+        let mut by_slot = vec![NO_POSITION; size];
+        for (position, slot) in slots().enumerate() {
             if let Some(slot) = slot {
-                by_slot[usize::from(slot.0)] = place as u32;
+                by_slot[usize::from(slot.0)] = position as u32;
             }
         }
         self.by_slot = by_slot.into();
@@ -114,7 +115,7 @@
         self
     }
 
-    /// Returns the table with the border between its lanes, which others move.
+    /// Returns the table with shared lanes, whose border a `LaneBalancer` moves.
     pub fn with_lanes(mut self, lanes: Arc<Lanes>) -> Self {
         self.lanes = lanes;
         self
@@ -125,8 +126,8 @@
         &self.upstreams
     }
 
-    /// Chooses the upstream for a whole request, leaving out those in `tried`. Returns nothing if
-    /// no upstream takes work.
+    /// Chooses the upstream for a whole request, except those in `tried`. Returns `None` if no
+    /// upstream accepts work.
     ///
     /// ```
     /// use std::sync::Arc;
@@ -162,7 +163,7 @@
         self.choose_for(Phase::Whole, req, tried, now, rng).map(|candidate| candidate.upstream)
     }
 
-    /// Chooses the upstream for one part of a request, leaving out those in `tried`.
+    /// Chooses the upstream for one phase of a request, except those in `tried`.
     pub fn choose_for(
         &self,
         phase: Phase,
@@ -175,12 +176,12 @@
         let search = Search { table: self, phase, req, tried, now, holders };
         let best = search.run(rng);
         if let Some(best) = &best {
-            best.upstream.note_chosen(now);
+            best.upstream.record_chosen(now);
         }
         best
     }
 
-    /// Decides whether the request should run on one engine or be split over two, and on which.
+    /// Decides whether the request should run on one engine or be split over two, and chooses them.
     pub fn place(
         &self,
         req: &RouteRequest<'_>,
@@ -213,7 +214,7 @@
     ) -> Option<Placement<'_>> {
         let prefill = self.choose_for(Phase::Prefill, req, tried, now, rng)?;
         let candidate = self.choose_for(Phase::Decode, req, tried, now, rng)?;
-        // Two parts on one engine are a whole with a transfer.
+        // Both phases on one engine equal a whole request with a needless transfer.
         if Arc::ptr_eq(prefill.upstream, candidate.upstream) {
             return None;
         }
--- a/crates/anvilhook-core/src/routing/upstreams.rs
+++ b/crates/anvilhook-core/src/routing/upstreams.rs
@@ -1,4 +1,4 @@
-//! What one instance knows of one upstream.
+//! The state that one instance keeps of one upstream.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -12,24 +12,24 @@
 use crate::roles::PoolShape;
 use crate::units::{Millis, Tokens};
 
-/// No slot of the prefix index.
+/// Marks an upstream without a slot in the prefix index.
 const NO_SLOT: u32 = u32::MAX;
 
-/// `Work` is what a request asks of an engine.
+/// `Work` is the work that a request needs from an engine.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Work {
     /// Tokens of the prompt.
     pub prompt: Tokens,
-    /// Tokens of output that are expected.
+    /// The expected number of output tokens.
     pub output: Tokens,
-    /// Whether its deadline is tight: it would end late on an engine that reads prompts all the
-    /// while.
+    /// Whether its deadline is tight: the request would miss it on an engine that reads prompts all
+    /// the time.
     pub tight: bool,
 }
 
 impl Work {
-    /// Makes the work of a request, whose deadline is tight if the time left is too short for its
-    /// output beside prompts that are being read.
+    /// Creates the work of a request. Its deadline is tight if the remaining time is too short to
+    /// generate the output on an engine that reads prompts at the same time.
     ///
     /// ```
     /// use anvilhook_core::routing::Work;
@@ -45,19 +45,19 @@
     }
 }
 
-/// `SentTotals` sums up all work that this instance has ever sent to an upstream.
+/// `SentTotals` sums all work that this instance has ever sent to an upstream.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SentTotals {
-    /// Requests.
+    /// The number of requests.
     pub requests: u64,
-    /// Their prompts, without what caches were believed to hold.
+    /// Their prompt tokens, except those that were assumed to be cached.
     pub prompt: Tokens,
-    /// Their expected outputs.
+    /// Their expected output tokens.
     pub output: Tokens,
 }
 
 impl SentTotals {
-    /// Returns what has been sent since earlier sums; nothing where the sums began anew.
+    /// Returns the work sent since the earlier sums; zero for sums that started again at zero.
     pub fn since(&self, earlier: &SentTotals) -> SentTotals {
         SentTotals {
             requests: self.requests.saturating_sub(earlier.requests),
@@ -67,28 +67,29 @@
     }
 }
 
-/// `SentSince` is what an instance says it has sent to an engine since a report.
+/// `SentSince` is the work that an instance reports to have sent to an engine since a load report.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SentSince {
-    /// The engine's start that the report belongs to.
+    /// The number of the engine's start that the load report belongs to.
     pub boot: u64,
-    /// The report's number.
+    /// The number of the load report.
     pub seq: u64,
-    /// What was sent since.
+    /// The work sent since.
     pub sent: SentTotals,
 }
 
 impl SentSince {
-    /// Returns what this tells beyond what the same instance told before. Of the same report, sums
-    /// that come again would otherwise count again, and the engine would look ever busier.
-    pub fn beyond(&self, earlier: Option<&SentSince>) -> SentTotals {
+    /// Returns the work that is not contained in the earlier statement of the same instance. Sums
+    /// since the same load report that arrive again would otherwise be counted again, and the engine
+    /// would appear busier and busier.
+    pub fn added_since(&self, earlier: Option<&SentSince>) -> SentTotals {
         let same = earlier.filter(|old| (old.boot, old.seq) == (self.boot, self.seq));
         self.sent.since(&same.map(|old| old.sent).unwrap_or_default())
     }
 }
 
-/// `UpstreamState` is what this instance knows of an upstream. It is shared by all route tables that
-/// name the upstream, so that replacing a table loses no count.
+/// `UpstreamState` is the state that this instance keeps of an upstream. All route tables that
+/// contain the upstream share it, so that replacing a table loses no count.
 #[derive(Debug)]
 pub struct UpstreamState {
     name: UpstreamName,
@@ -98,16 +99,16 @@
     retired: AtomicBool,
     open_requests: AtomicU64,
     load: LoadView,
-    // Requests, prompt tokens and output tokens ever sent.
+    // The numbers of requests, prompt tokens and output tokens ever sent.
     sent: [AtomicU64; 3],
     ejection: Ejection,
     cache_slot: AtomicU32,
-    // The time of the last choice, for callers that count work in without saying when.
+    // The time of the last choice, for callers that record work without a time.
     chosen_at: AtomicU64,
 }
 
 impl UpstreamState {
-    /// Makes the state of an upstream of which nothing is known yet.
+    /// Creates the state of an upstream of which nothing is known yet.
     pub fn new(name: UpstreamName, address: SocketAddr, zone: ZoneName) -> Self {
         Self {
             name,
@@ -129,7 +130,7 @@
         &self.name
     }
 
-    /// Returns where the upstream listens.
+    /// Returns the address on which the upstream listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -139,30 +140,30 @@
         &self.zone
     }
 
-    /// Says whether the upstream is leaving. A leaving upstream is given no new work.
+    /// Sets whether the upstream is leaving. A leaving upstream gets no new work.
     pub fn set_leaving(&self, leaving: bool) {
         self.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Says that the upstream is no longer declared as this state describes it. It is given no new
-    /// work ever again, whatever `set_leaving` says later.
+    /// Records that the upstream is no longer declared as this state describes it. It never gets new
+    /// work again, even after `set_leaving(false)`.
     pub fn retire(&self) {
         self.retired.store(true, Ordering::Release);
     }
 
-    /// Returns whether the upstream may be given new work.
+    /// Returns whether the upstream may get new work.
     pub fn takes_work(&self) -> bool {
         !self.leaving.load(Ordering::Acquire) && !self.retired.load(Ordering::Acquire)
     }
 
-    /// Counts a request of this instance in, before it is sent. It counts as sent when the upstream
-    /// was last chosen; `begin_at` is more exact.
+    /// Records a request of this instance before it is sent. The time of the upstream's last choice
+    /// is taken as the time of sending; `begin_at` is more exact.
     pub fn begin(&self, work: Work) {
         self.begin_at(work, Millis(self.chosen_at.load(Ordering::Relaxed)));
     }
 
-    /// Counts a request of this instance in, before it is sent. The work's prompt should be what
-    /// the engine has to read, without what its cache is believed to hold.
+    /// Records a request of this instance before it is sent at `now`. The work's prompt should
+    /// contain only what the engine has to read, without the tokens that are assumed to be cached.
     pub fn begin_at(&self, work: Work, now: Millis) {
         self.open_requests.fetch_add(1, Ordering::AcqRel);
         self.load.record(work, now);
@@ -172,15 +173,15 @@
         output.fetch_add(work.output.0, Ordering::Relaxed);
     }
 
-    /// Returns the sums of all work that this instance has sent. A reader may see a request without
-    /// its tokens; the next reading has them.
+    /// Returns the sums of all work that this instance has sent. A call may return a request without
+    /// its tokens; the next call includes them.
     pub fn sent(&self) -> SentTotals {
         let [requests, prompt, output] =
             self.sent.each_ref().map(|sum| sum.load(Ordering::Relaxed));
         SentTotals { requests, prompt: Tokens(prompt), output: Tokens(output) }
     }
 
-    /// Counts a request of this instance out, when it has ended one way or the other.
+    /// Records that a request of this instance has ended, successfully or not.
     pub fn end(&self, _work: Work) {
         self.open_requests.fetch_sub(1, Ordering::AcqRel);
     }
@@ -190,11 +191,11 @@
         self.open_requests.load(Ordering::Acquire)
     }
 
-    /// Applies a load report, which is `report.age` old, and returns whether it was. A report older
-    /// than the last one changes nothing.
+    /// Applies a load report, which is `report.age` old, and returns whether it was applied. A report
+    /// older than the last one changes nothing.
     ///
-    /// A report that says that the engine is leaving is obeyed; that it is no longer leaving is for
-    /// whoever called `set_leaving` to say.
+    /// If the report says that the engine is leaving, the upstream is marked as leaving. A report
+    /// never clears that mark; only `set_leaving` does.
     pub fn apply_report(&self, report: &LoadReport, now: Millis) -> bool {
         let is_applied = self.load.apply(report, now);
         if is_applied && report.leaving {
@@ -208,27 +209,27 @@
         self.load.has_report()
     }
 
-    /// Records work that a peer says it sent at about `at`.
+    /// Records work that a peer reports to have sent at about `at`.
     pub fn record_peer_work(&self, work: Work, at: Millis) {
         self.load.record(work, at);
     }
 
-    /// Records all the work that a peer says it sent at about `at`.
+    /// Records the sums of all work that a peer reports to have sent at about `at`.
     pub fn record_peer_sent(&self, sent: &SentTotals, at: Millis) {
         self.load.record_sums(sent, at);
     }
 
-    /// Returns the load that the upstream is believed to have now.
+    /// Returns the estimated current load of the upstream.
     pub fn load(&self, now: Millis) -> Load {
         self.load.estimate(now)
     }
 
-    /// Returns the role that the engine is believed to have.
+    /// Returns the last known role of the engine.
     pub fn role(&self) -> Role {
         self.load.role()
     }
 
-    /// Sets the role that the engine is known to have, before a report says so.
+    /// Sets the role that the engine is known to have, before a report contains it.
     pub fn set_role(&self, role: Role) {
         self.load.set_role(role);
     }
@@ -238,7 +239,7 @@
         &self.ejection
     }
 
-    /// Says under which slot of the prefix index the engine's cache is known.
+    /// Sets the slot of the prefix index that holds the engine's cache.
     pub fn set_cache_slot(&self, slot: CacheSlot) {
         self.cache_slot.store(u32::from(slot.0), Ordering::Release);
     }
@@ -249,7 +250,7 @@
         u16::try_from(slot).ok().map(CacheSlot)
     }
 
-    pub(super) fn note_chosen(&self, now: Millis) {
+    pub(super) fn record_chosen(&self, now: Millis) {
         self.chosen_at.store(now.0, Ordering::Relaxed);
     }
 }
--- a/crates/anvilhook-core/src/speeds.rs
+++ b/crates/anvilhook-core/src/speeds.rs
@@ -1,22 +1,23 @@
-//! How fast engines work, learnt from what they did.
+//! Learns how fast engines work from the requests that they completed.
 //!
-//! No deployment tells how fast its engines read, and two that look alike may differ by three times
-//! in what attention costs. What is predicted by another deployment's figures misplaces long prompts
-//! above all: their wait is taken for several times what it is.
+//! No deployment reports how fast its engines read (prefill) prompts, and two deployments that look
+//! alike may differ by a factor of three in the cost of attention. Predictions from another
+//! deployment's figures misplace long prompts above all, because they overestimate their wait several
+//! times.
 
-/// What a reading says of the ones before: each weighs less by this for every one after it.
-const MEMORY: f64 = 0.995;
+/// The factor by which each new reading reduces the weight of all earlier ones.
+const DECAY: f64 = 0.995;
 
-/// How many readings the expected speeds are worth at the start.
+/// The initial weight of the expected speeds, as a number of readings.
 const PRIOR_WEIGHT: f64 = 8.0;
 
-/// How far from the expected speeds the learnt ones may go, as a factor. What lies beyond was not
-/// the engine's speed.
-const BOUND: f64 = 8.0;
+/// The maximum factor between learnt and expected speeds. A greater difference was not caused by the
+/// engine's speed.
+const MAX_DEVIATION: f64 = 8.0;
 
-/// How much longer than predicted a reading may take and still be learnt from. One that took longer
-/// waited behind work of which this instance had not heard.
-const OUTLIER: f64 = 2.5;
+/// The maximum factor between the measured and the predicted time of a reading that is learnt from. A
+/// slower reading waited behind work that this instance did not know of.
+const OUTLIER_FACTOR: f64 = 2.5;
 
 /// `ReadingCost` predicts how long an engine needs to read a prompt.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -25,14 +26,15 @@
     pub ms_per_thousand: f64,
     /// The time for a million pairs of tokens that attend to each other, in milliseconds.
     pub ms_per_million_pairs: f64,
-    /// What each prompt costs beside, in milliseconds.
+    /// The fixed time for each prompt, in milliseconds.
     pub fixed_ms: f64,
 }
 
 impl ReadingCost {
-    /// Returns the time in milliseconds to read a prompt of which `cached` tokens are kept.
+    /// Returns the time in milliseconds to read a prompt of which `cached` tokens are in the cache.
     ///
-    /// Each new token attends to all before it, so the pairs are a trapezium.
+    /// Each new token attends to all tokens before it, so the number of pairs is the area of a
+    /// trapezium.
     ///
     /// ```
     /// use anvilhook_core::speeds::ReadingCost;
@@ -49,7 +51,7 @@
     }
 }
 
-/// The two sizes of a reading that its time grows with.
+/// The two quantities that determine the time of a reading.
 #[derive(Clone, Copy, Debug)]
 struct ReadingWork {
     thousands: f64,
@@ -64,27 +66,28 @@
     }
 }
 
-/// `ReadingSpeed` learns a [`ReadingCost`] by least squares, in which old readings fade.
+/// `ReadingSpeed` learns a [`ReadingCost`] by least squares with decaying weights.
 #[derive(Clone, Debug)]
 pub struct ReadingSpeed {
     expected: ReadingCost,
     learnt: ReadingCost,
-    /// The sums of the squares and products of both sizes and the time.
+    /// The weighted sums of the squares and the product of both quantities, and of their products with
+    /// the time.
     squares: [f64; 3],
     products: [f64; 2],
 }
 
 impl ReadingSpeed {
-    /// Makes a speed of which only what is expected is known.
+    /// Creates a speed that starts from the expected cost.
     pub fn new(expected: ReadingCost) -> Self {
-        // The weight of the expectation, as readings of a thousand tokens and of a million pairs.
+        // The expectation counts as readings of a thousand tokens and of a million pairs each.
         let products =
             [PRIOR_WEIGHT * expected.ms_per_thousand, PRIOR_WEIGHT * expected.ms_per_million_pairs];
         let squares = [PRIOR_WEIGHT, 0.0, PRIOR_WEIGHT];
         Self { expected, learnt: expected, squares, products }
     }
 
-    /// Returns what is predicted by.
+    /// Returns the cost that predictions currently use.
     pub fn cost(&self) -> ReadingCost {
         self.learnt
     }
@@ -105,19 +108,19 @@
     /// ```
     pub fn record(&mut self, tokens: u32, cached: u32, took_ms: f64) {
         let predicted_ms = self.learnt.read_ms(tokens, cached);
-        if !took_ms.is_finite() || took_ms > predicted_ms * OUTLIER {
+        if !took_ms.is_finite() || took_ms > predicted_ms * OUTLIER_FACTOR {
             return;
         }
         let work = ReadingWork::new(tokens, cached);
         let (x, y) = (work.thousands, work.million_pairs);
-        // Long readings would drown short ones: each is weighed by the inverse of its size.
+        // Weighted by the inverse of its size, or long readings would outweigh short ones.
         let weight = 1.0 / (x + y).max(0.1);
-        let rest_ms = took_ms - self.expected.fixed_ms;
+        let variable_ms = took_ms - self.expected.fixed_ms;
         for (sum, new) in self.squares.iter_mut().zip([x * x, x * y, y * y]) {
-            *sum = *sum * MEMORY + new * weight;
+            *sum = *sum * DECAY + new * weight;
         }
-        for (sum, new) in self.products.iter_mut().zip([x * rest_ms, y * rest_ms]) {
-            *sum = *sum * MEMORY + new * weight;
+        for (sum, new) in self.products.iter_mut().zip([x * variable_ms, y * variable_ms]) {
+            *sum = *sum * DECAY + new * weight;
         }
         self.solve();
     }
@@ -129,7 +132,9 @@
         if determinant <= f64::EPSILON * xx * yy {
             return;
         }
-        let bounded = |learnt: f64, expected: f64| learnt.clamp(expected / BOUND, expected * BOUND);
+        let bounded = |learnt: f64, expected: f64| {
+            learnt.clamp(expected / MAX_DEVIATION, expected * MAX_DEVIATION)
+        };
         let ms_per_thousand = (xt * yy - yt * xy) / determinant;
         let ms_per_million_pairs = (yt * xx - xt * xy) / determinant;
         self.learnt = ReadingCost {
@@ -140,7 +145,7 @@
     }
 }
 
-/// `OutputSpeed` learns how long a token of output takes, and a whole output, in milliseconds.
+/// `OutputSpeed` learns the time of an output token and of a whole output, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct OutputSpeed {
     token_ms: f64,
@@ -149,20 +154,20 @@
     outputs: u32,
 }
 
-/// The least tokens over which the time of a token is told. The pauses of a shorter output are mostly
-/// single ones, and would make a long output seem to take minutes.
-const TELLING_TOKENS: u32 = 50;
+/// The minimum number of tokens over which the longest time of a token is calculated. The pauses of a
+/// shorter output are mostly single ones, and would predict minutes for a long output.
+const MIN_SAMPLE_TOKENS: u32 = 50;
 
-/// The least number of outputs from which the longest time of a token is known. Before, it is what was
-/// expected of engines that nobody has seen.
-const TELLING_OUTPUTS: u32 = 8;
+/// The minimum number of outputs after which the longest time of a token is valid. Before that, it is
+/// only the expectation for engines that were never observed.
+const MIN_SAMPLE_OUTPUTS: u32 = 8;
 
-/// What a faster output takes off the longest time of a token, as a share of the difference.
-const LONGEST_FADING: f64 = 0.01;
+/// The share of the difference by which a faster output reduces the longest time of a token.
+const LONGEST_DECAY: f64 = 0.01;
 
 impl OutputSpeed {
-    /// Makes a speed of which only what is expected is known, in milliseconds a token and a whole
-    /// output.
+    /// Creates a speed that starts from the expected times of a token and of a whole output, in
+    /// milliseconds.
     pub fn new(token_ms: f64, whole_ms: f64) -> Self {
         Self { token_ms, longest_token_ms: token_ms, whole_ms, outputs: 0 }
     }
@@ -183,23 +188,24 @@
             self.outputs = self.outputs.saturating_add(1);
             self.token_ms += WEIGHT * (took_ms / f64::from(tokens) - self.token_ms);
             self.whole_ms += WEIGHT * (took_ms - self.whole_ms);
-            let telling_ms = took_ms / f64::from(tokens.max(TELLING_TOKENS));
-            let faster_ms = (self.longest_token_ms - telling_ms).max(0.0);
+            let sample_ms = took_ms / f64::from(tokens.max(MIN_SAMPLE_TOKENS));
+            let faster_ms = (self.longest_token_ms - sample_ms).max(0.0);
             self.longest_token_ms =
-                telling_ms.max(self.longest_token_ms - LONGEST_FADING * faster_ms);
+                sample_ms.max(self.longest_token_ms - LONGEST_DECAY * faster_ms);
         }
     }
 
-    /// Returns how long an output takes in the mean.
+    /// Returns the mean time of an output, in milliseconds.
     pub fn mean_ms(&self) -> f64 {
         self.whole_ms
     }
 
-    /// Returns how long an output of at most so many tokens may take, by the slowest of late; `None`
-    /// if too few have been seen.
+    /// Returns how long an output of at most `tokens` tokens may take, in milliseconds, by the slowest
+    /// recent outputs; `None` if too few have been observed.
     ///
-    /// A caller names the most tokens, and most outputs end well before. By the mean over them, the
-    /// ones that do go on to the end would be taken for less than half as long as they are.
+    /// A caller sets the maximum number of tokens, and most outputs end well before it. By the mean
+    /// over all outputs, those that reach the maximum would be predicted to take less than half of
+    /// their time.
     ///
     /// ```
     /// use anvilhook_core::speeds::OutputSpeed;
@@ -211,11 +217,11 @@
     /// assert!(speed.longest_ms(200).is_some_and(|ms| ms > 3_500.0));
     /// ```
     pub fn longest_ms(&self, tokens: u32) -> Option<f64> {
-        let is_known = self.outputs >= TELLING_OUTPUTS;
+        let is_known = self.outputs >= MIN_SAMPLE_OUTPUTS;
         is_known.then_some(f64::from(tokens) * self.longest_token_ms)
     }
 
-    /// Returns the predicted time of an output.
+    /// Returns the predicted time of an output, in milliseconds.
     pub fn output_ms(&self, tokens: u32) -> f64 {
         f64::from(tokens) * self.token_ms
     }
--- a/crates/anvilhook-core/src/splits.rs
+++ b/crates/anvilhook-core/src/splits.rs
@@ -1,60 +1,63 @@
-//! How a service's engines are split between reading prompts and generating output.
+//! Decides how a service's engines are split between reading (prefilling) prompts and generating output.
 //!
-//! The load that this answers: engines with few places, whose generators are all full while a third
-//! of the readers stand idle, for as long as the split is what other engines needed. What counts is
-//! the ratio of both kinds of work that engines did, for all requests of an availability zone: the few
-//! that one of many instances sees, with heavy tails, say half as many readers one second and twice as
-//! many the next.
+//! Designed for: engines with few slots, where a split that suited other engines leaves all generators
+//! full while a third of the readers are idle. The split follows the ratio of both kinds of work that
+//! the engines did for all requests of an availability zone. The few heavy-tailed requests that a
+//! single instance sees would suggest half as many readers in one second and twice as many in the next.
 
 use crate::units::Millis;
 
-/// After how long work counts less by two thirds. A change of role takes three seconds and pays for
-/// itself in as many more, so a mix that swings back sooner must not move engines; one that stays for
-/// ten must.
+/// The time after which recorded work has lost two thirds of its weight. A role change takes three
+/// seconds and pays for itself in three more, so a mix that swings back sooner must not move engines,
+/// but a mix that lasts for ten seconds must.
 const MIX_DECAY_TIME: Millis = Millis::from_secs(5);
 
-/// The least work that says anything of the mix, in milliseconds of an engine, and the least time over
-/// which it must have come. The first prompts find cold caches, and outputs have just begun.
-const LEAST_WORK_MS: f64 = 10_000.0;
-const LEAST_TIME: Millis = Millis::from_secs(2);
+/// The minimum work from which the mix is estimated, in milliseconds of an engine, and the minimum time
+/// over which it must have been recorded. The first prompts find cold caches, and their outputs have
+/// only begun.
+const MIN_WORK_MS: f64 = 10_000.0;
+const MIN_TIME: Millis = Millis::from_secs(2);
 
-/// The most engines that change their roles at a time while there is work, as a share: each is away for
-/// seconds, and if many are away at once the rest answer late until they are back.
-const MOST_CHANGING_SHARE: f64 = 0.1;
+/// The maximum share of engines that change their roles at the same time while there is work. Each
+/// accepts no work for seconds, and if many change at once, the rest answer late until they are back.
+const MAX_CHANGING_SHARE: f64 = 0.1;
 
-/// By how much the share of readers must be off before it is changed, and by how many engines. What
-/// is less does not pay for the engines' time away; among few engines one more or less is noise.
-const LEAST_CHANGE_SHARE: f64 = 0.05;
-const LEAST_CHANGED_ENGINES: f64 = 4.0;
+/// The minimum change of the share of readers, and the minimum number of engines that it moves. A
+/// smaller change does not pay for the time without these engines; among few engines, one more or
+/// less is noise.
+const MIN_CHANGE_SHARE: f64 = 0.05;
+const MIN_CHANGED_ENGINES: f64 = 4.0;
 
-/// The least share of readers.
-const LEAST_READER_SHARE: f64 = 0.34;
+/// The minimum share of readers.
+const MIN_READER_SHARE: f64 = 0.34;
 
-/// How much of a kind of engine must be taken before others are made of its kind. Engines that have room
-/// answer as soon without, and the mix may be another one when the change is done.
-const PRESSED_SHARE: f64 = 0.7;
+/// The minimum share of a kind of engines that must be in use before engines of the other kind change
+/// to it. Engines with free capacity would not answer sooner, and the mix may be different when the
+/// change is done.
+const MIN_PRESSURE: f64 = 0.7;
 
-/// What a look at the engines counts against the looks before.
-const LOOK_WEIGHT: f64 = 0.25;
+/// The weight of the newest sample in the moving average of the pressure.
+const SAMPLE_WEIGHT: f64 = 0.25;
 
-/// `Pressure` is how much of a service's engines is taken, as shares of each kind, over the last looks.
+/// `Pressure` holds the share of a service's engines that is in use, by kind, averaged over recent
+/// samples.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Pressure {
-    /// The share of the readers that have something to read.
+    /// The share of readers that have a prompt to read.
     pub reading: f64,
-    /// The share of the generators' places that are taken.
+    /// The share of the generators' slots that are in use.
     pub generating: f64,
 }
 
 impl Pressure {
-    /// Takes in what one look shows.
-    pub fn record(&mut self, look: Pressure) {
-        self.reading += LOOK_WEIGHT * (look.reading - self.reading);
-        self.generating += LOOK_WEIGHT * (look.generating - self.generating);
+    /// Adds a sample to the averages.
+    pub fn record(&mut self, sample: Pressure) {
+        self.reading += SAMPLE_WEIGHT * (sample.reading - self.reading);
+        self.generating += SAMPLE_WEIGHT * (sample.generating - self.generating);
     }
 }
 
-/// `WorkMix` is the work of both kinds that was asked for of late.
+/// `WorkMix` holds the recent work of both kinds, with decaying weight.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkMix {
     reading_ms: f64,
@@ -64,26 +67,27 @@
 }
 
 impl WorkMix {
-    /// Notes work that engines did: the reading of prompts, and outputs by the time that they held places
-    /// of an engine or waited for one, divided by its number of places, both in milliseconds of an engine.
+    /// Records work that engines did, in milliseconds of an engine. `reading_ms` is the time for reading
+    /// prompts. `generating_ms` is the time for which outputs held slots of an engine or waited for
+    /// one, divided by its number of slots.
     pub fn record(&mut self, reading_ms: f64, generating_ms: f64, now: Millis) {
         self.since.get_or_insert(now);
-        let fading = (-(now - self.at).as_secs_f64() / MIX_DECAY_TIME.as_secs_f64()).exp();
-        self.reading_ms = self.reading_ms * fading + reading_ms;
-        self.generating_ms = self.generating_ms * fading + generating_ms;
+        let decay = (-(now - self.at).as_secs_f64() / MIX_DECAY_TIME.as_secs_f64()).exp();
+        self.reading_ms = self.reading_ms * decay + reading_ms;
+        self.generating_ms = self.generating_ms * decay + generating_ms;
         self.at = now;
     }
 
-    /// Returns the share of engines that should read, if enough was asked for to tell.
+    /// Returns the share of engines that should read, if enough work has been recorded.
     pub fn reader_share(&self) -> Option<f64> {
         let work_ms = self.reading_ms + self.generating_ms;
         let time = self.since.map_or(Millis::ZERO, |since| self.at - since);
-        let is_telling = work_ms >= LEAST_WORK_MS && time >= LEAST_TIME;
-        is_telling.then(|| self.reading_ms / work_ms)
+        let is_sufficient = work_ms >= MIN_WORK_MS && time >= MIN_TIME;
+        is_sufficient.then(|| self.reading_ms / work_ms)
     }
 
-    /// Returns how many more engines of so many may begin to change their roles, while `changing` do. As
-    /// long as there is no work, all may: an even split costs nothing then.
+    /// Returns how many more of `engines` engines may begin to change their roles while `changing` of
+    /// them do so. All of them may as long as there is no work, since a change costs nothing then.
     ///
     /// ```
     /// use anvilhook_core::splits::WorkMix;
@@ -100,15 +104,16 @@
         if self.since.is_none() {
             return engines;
         }
-        let most = (engines as f64 * MOST_CHANGING_SHARE).max(1.0) as usize;
-        most.saturating_sub(changing)
+        let max_changing = (engines as f64 * MAX_CHANGING_SHARE).max(1.0) as usize;
+        max_changing.saturating_sub(changing)
     }
 }
 
-/// Returns the share of readers to keep from now on, by the one that is kept so far, the mix, and how
-/// much of the engines is taken.
+/// Returns the share of readers to use from now on, by the current share, the mix and the pressure on
+/// the engines.
 ///
-/// `most` bounds it: more readers are of no use, since what they read finds no place at a generator.
+/// The result is at most `max_share`: more readers are of no use, since the prompts that they read
+/// would find no slot at a generator.
 ///
 /// ```
 /// use anvilhook_core::splits::{Pressure, WorkMix, next_share};
@@ -125,12 +130,17 @@
 /// let half_idle = Pressure { reading: 0.5, generating: 0.5 };
 /// assert_eq!(next_share(0.67, 0.67, &mix, &half_idle, 140), 0.67, "there is room");
 /// ```
-pub fn next_share(kept: f64, most: f64, mix: &WorkMix, pressure: &Pressure, engines: usize) -> f64 {
-    let Some(wanted) = mix.reader_share() else { return kept };
-    let wanted = wanted.clamp(LEAST_READER_SHARE.min(most), most);
-    let pressed = if wanted < kept { pressure.generating } else { pressure.reading };
-    let change = (wanted - kept).abs();
-    let is_worth_it =
-        change >= LEAST_CHANGE_SHARE && change * engines as f64 >= LEAST_CHANGED_ENGINES;
-    if is_worth_it && pressed >= PRESSED_SHARE { wanted } else { kept }
+pub fn next_share(
+    current: f64,
+    max_share: f64,
+    mix: &WorkMix,
+    pressure: &Pressure,
+    engines: usize,
+) -> f64 {
+    let Some(wanted) = mix.reader_share() else { return current };
+    let wanted = wanted.clamp(MIN_READER_SHARE.min(max_share), max_share);
+    let pressed = if wanted < current { pressure.generating } else { pressure.reading };
+    let change = (wanted - current).abs();
+    let is_worth_it = change >= MIN_CHANGE_SHARE && change * engines as f64 >= MIN_CHANGED_ENGINES;
+    if is_worth_it && pressed >= MIN_PRESSURE { wanted } else { current }
 }
--- a/crates/anvilhook-core/src/stops.rs
+++ b/crates/anvilhook-core/src/stops.rs
@@ -1,38 +1,40 @@
-//! What an instance that stops may still take on.
+//! Decides which requests an instance that is stopping still accepts.
 //!
-//! Load balancers notice a stop only after a while, and callers go on using the connections that they
-//! keep open, so requests come until the process is gone. What is taken on and outlives the process is
-//! cut in the middle of its answer, although its caller could have gone elsewhere at once.
+//! Load balancers notice a stop only after some time, and callers go on using their open connections,
+//! so requests arrive until the process has terminated. The answer of an accepted request that takes
+//! longer than that is truncated, although its caller could have gone to another instance at once.
 
 use crate::units::Millis;
 
-/// How much longer than the slowest of late a request may take, and what goes before an output at most,
-/// in milliseconds, if it is to be whole before its instance ends.
-const ENDING_FACTOR: f64 = 1.25;
-const BEFORE_OUTPUT_MS: f64 = 1_500.0;
+/// The safety factor on the expected time of a request, and the maximum time before its output begins, in
+/// milliseconds. A request may take longer than the slowest recent ones and must still be complete
+/// before its instance terminates.
+const EXPECTED_TIME_FACTOR: f64 = 1.25;
+const MAX_BEFORE_OUTPUT_MS: f64 = 1_500.0;
 
-/// `Stop` is the course of an instance's stop.
+/// `Stop` is the schedule of an instance's stop.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Stop {
-    /// When everybody who spreads connections has noticed the stop.
+    /// When every load balancer has noticed the stop.
     pub noticed_at: Millis,
-    /// When the instance ends, whatever is in flight.
+    /// When the instance terminates, even if requests are in flight.
     pub ends_at: Millis,
 }
 
-/// `Acceptance` is whether an instance that stops takes a request on, and why.
+/// `Acceptance` says whether a stopping instance accepts a request, and why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Acceptance {
-    /// It does: the caller's own limit is over before the instance ends.
+    /// Accepted: the caller's own limit ends before the instance terminates.
     Bounded,
-    /// It does: the request is expected to end in time, and not everybody knows of the stop yet.
+    /// Accepted: the request is expected to complete in time, and not every load balancer has noticed
+    /// the stop yet.
     Expected,
-    /// It does not: the instance's end could cut the answer.
+    /// Refused: the answer could be truncated when the instance terminates.
     Refused,
 }
 
 impl Acceptance {
-    /// Returns the name for logs.
+    /// Returns the name used in logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Acceptance::Bounded => "bounded",
@@ -43,13 +45,13 @@
 }
 
 impl Stop {
-    /// Decides about a request whose caller's limit is at `limit_at`, and that is expected to take
-    /// `expected_ms`, `None` if nothing is known of that.
+    /// Decides whether to accept a request whose caller's limit ends at `limit_at`. `expected_ms` is the
+    /// expected duration of the request, or `None` if it is unknown.
     ///
-    /// How long an engine takes is never certain: it may be slow, stand still, or be one of which this
-    /// instance has seen nothing yet. Only the caller's own limit bounds a request. An expectation counts
-    /// for as long as callers are still sent here; then a refusal costs them a round trip, and a wrong
-    /// expectation the answer.
+    /// The duration is never certain: an engine may be slow or stuck, or this instance may not have
+    /// observed it yet. Only the caller's own limit bounds a request. The expectation counts only until
+    /// every load balancer has noticed the stop. After that a refusal costs the caller one round trip,
+    /// whereas a wrong expectation costs the answer.
     ///
     /// ```
     /// use anvilhook_core::stops::{Stop, Acceptance};
@@ -66,7 +68,7 @@
         if limit_at <= self.ends_at {
             return Acceptance::Bounded;
         }
-        let is_expected = expected_ms.is_some_and(|ms| self.ends_in_time(now, ms));
+        let is_expected = expected_ms.is_some_and(|ms| self.completes_in_time(now, ms));
         if now < self.noticed_at && is_expected {
             Acceptance::Expected
         } else {
@@ -74,13 +76,13 @@
         }
     }
 
-    /// Returns whether a request that begins now and is expected to take `expected_ms` is whole before
-    /// the end.
-    fn ends_in_time(&self, now: Millis, expected_ms: f64) -> bool {
-        expected_ms * ENDING_FACTOR + BEFORE_OUTPUT_MS <= self.time_left(now).0 as f64
+    /// Returns whether a request that begins now and is expected to take `expected_ms` completes before
+    /// the instance terminates.
+    fn completes_in_time(&self, now: Millis, expected_ms: f64) -> bool {
+        expected_ms * EXPECTED_TIME_FACTOR + MAX_BEFORE_OUTPUT_MS <= self.time_left(now).0 as f64
     }
 
-    /// Returns the time until the instance ends.
+    /// Returns the time until the instance terminates.
     pub fn time_left(&self, now: Millis) -> Millis {
         self.ends_at - now
     }
--- a/crates/anvilhook-core/src/usage.rs
+++ b/crates/anvilhook-core/src/usage.rs
@@ -1,8 +1,8 @@
-//! Usage of client accounts: how many of their requests began to run in each window of time.
+//! Counts the usage of client accounts: how many of their requests began to run in each time window.
 //!
-//! The load that this answers: dozens of instances serve the same accounts, some of them end at any
-//! moment, and what they tell each other is lost, doubled or late. So each counts in sums that only grow.
-//! Of two sums of one instance the greater is the newer, and whoever has heard both goes by that.
+//! Designed for: dozens of instances that serve the same accounts, where any instance may terminate
+//! at any moment and updates are lost, duplicated or late. Each instance therefore counts in sums that
+//! only grow. Of two sums of one instance the greater is the newer, and a receiver keeps that one.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -10,14 +10,15 @@
 
 use crate::units::{Millis, WallTime};
 
-/// How many windows are kept, the current one among them.
-pub const KEPT_WINDOWS: u64 = 8;
+/// The number of retained windows, including the current one.
+pub const RETAINED_WINDOWS: u64 = 8;
 
-/// The most accounts and instances that are counted in a window, which bounds what others can have kept.
-const MOST_ACCOUNTS: usize = 8_192;
-const MOST_INSTANCES: usize = 2_048;
+/// The maximum numbers of accounts and instances that are counted in a window. They bound the memory
+/// that updates of other instances can take up.
+const MAX_ACCOUNTS: usize = 8_192;
+const MAX_INSTANCES: usize = 2_048;
 
-/// `Windows` numbers spans of the same length since 1970.
+/// `Windows` numbers consecutive time windows of one length since 1970.
 ///
 /// ```
 /// use anvilhook_core::units::{Millis, WallTime};
@@ -33,12 +34,12 @@
 }
 
 impl Windows {
-    /// Makes windows of a length, of a millisecond at least.
+    /// Creates windows of the given length, at least one millisecond.
     pub fn of(length: Millis) -> Self {
         Self { length: length.max(Millis(1)) }
     }
 
-    /// Returns the window that a time is in.
+    /// Returns the window that contains a time.
     pub fn at(self, time: WallTime) -> u64 {
         time.0 / self.length.0
     }
@@ -49,30 +50,30 @@
     }
 }
 
-/// `AccountCode` is the short form of a client account's name that instances use among themselves.
+/// `AccountCode` is the hash of a client account's name that instances use among themselves.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct AccountCode(pub u32);
 
-/// `WindowCounts` is how many requests of some accounts began in a window.
+/// `WindowCounts` holds how many requests of some accounts began to run in a window.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WindowCounts {
     /// The window.
     pub window: u64,
-    /// The accounts, each with its sum.
+    /// The accounts, each with its number of requests.
     pub counts: Vec<(AccountCode, u32)>,
 }
 
-/// `Source` is who has counted.
+/// `Source` identifies whose requests were counted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Source {
-    /// One instance of an availability zone, by the number of its process.
+    /// One instance of an availability zone, identified by the number of its process.
     Instance {
         /// Its availability zone.
         zone: u32,
-        /// Its number.
+        /// The number of its process.
         number: u64,
     },
-    /// All instances of an availability zone, as one of them knows it.
+    /// All instances of an availability zone, as known by one of them.
     Zone(u32),
 }
 
@@ -86,38 +87,39 @@
 
 type Counts = HashMap<AccountCode, u32>;
 
-/// `ZoneUsage` is what is known of one availability zone in one window.
+/// `ZoneUsage` holds the known counts of one availability zone in one window.
 #[derive(Clone, Debug, Default)]
 struct ZoneUsage {
     instances: HashMap<u64, Counts>,
-    told: Counts,
+    reported: Counts,
 }
 
 impl ZoneUsage {
-    /// Returns the sums: what is known of its instances, or what was told of all of them, if that is more.
+    /// Returns the sum for each account: the total over the known instances or the sum reported for
+    /// the whole zone, whichever is greater.
     fn sums(&self) -> Counts {
         let mut sums = Counts::new();
         for (account, count) in self.instances.values().flatten() {
             let sum = sums.entry(*account).or_default();
             *sum = sum.saturating_add(*count);
         }
-        raise(&mut sums, self.told.iter().map(|(account, count)| (*account, *count)));
+        merge_sums(&mut sums, self.reported.iter().map(|(account, count)| (*account, *count)));
         sums
     }
 }
 
-/// `UsageCounters` is what one instance knows of all instances' usage.
+/// `UsageCounters` holds the usage of all instances as far as this instance knows it.
 ///
 /// ```
 /// use anvilhook_core::usage::{AccountCode, Source, UsageCounters};
 ///
 /// let (kitchen, own) = (AccountCode(1), Source::Instance { zone: 1, number: 7 });
-/// let mut book = UsageCounters::new();
-/// book.count(own, kitchen, 40);
-/// let told = book.take_changes(10);
-/// book.merge(Source::Instance { zone: 2, number: 8 }, &told, 40);
-/// book.merge(Source::Instance { zone: 2, number: 8 }, &told, 40);
-/// assert_eq!(book.totals(40)[&kitchen], 2);
+/// let mut counters = UsageCounters::new();
+/// counters.count(own, kitchen, 40);
+/// let changes = counters.take_changes(10);
+/// counters.merge(Source::Instance { zone: 2, number: 8 }, &changes, 40);
+/// counters.merge(Source::Instance { zone: 2, number: 8 }, &changes, 40);
+/// assert_eq!(counters.totals(40)[&kitchen], 2);
 /// ```
 #[derive(Debug, Default)]
 pub struct UsageCounters {
@@ -127,43 +129,44 @@
 }
 
 impl UsageCounters {
-    /// Makes a book in which nothing is counted.
+    /// Creates empty counters.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts a request that began to run at this instance, which is `own`.
+    /// Counts a request that began to run at this instance, whose source is `own`.
     pub fn count(&mut self, own: Source, account: AccountCode, window: u64) {
         let count = self.own.entry(window).or_default().entry(account).or_default();
         *count = count.saturating_add(1);
         let counts = [(account, *count)];
         self.changed.insert((window, account));
-        self.raise(own, window, &counts);
+        self.merge_window(own, window, &counts);
         self.forget(window);
     }
 
-    /// Takes in what somebody has counted. `current` is the window now; what is far from it is not kept.
-    pub fn merge(&mut self, from: Source, told: &[WindowCounts], current: u64) {
-        let kept = current.saturating_sub(KEPT_WINDOWS)..=current.saturating_add(1);
-        for WindowCounts { window, counts } in told {
-            if kept.contains(window) {
-                self.raise(from, *window, counts);
+    /// Merges the counts of another source. `current` is the present window; counts of windows far
+    /// from it are dropped.
+    pub fn merge(&mut self, from: Source, updates: &[WindowCounts], current: u64) {
+        let retained = current.saturating_sub(RETAINED_WINDOWS)..=current.saturating_add(1);
+        for WindowCounts { window, counts } in updates {
+            if retained.contains(window) {
+                self.merge_window(from, *window, counts);
             }
         }
     }
 
-    fn raise(&mut self, from: Source, window: u64, counts: &[(AccountCode, u32)]) {
+    fn merge_window(&mut self, from: Source, window: u64, counts: &[(AccountCode, u32)]) {
         let zone = self.windows.entry(window).or_default().entry(from.zone()).or_default();
         let known = match from {
-            Source::Zone(_) => &mut zone.told,
+            Source::Zone(_) => &mut zone.reported,
             Source::Instance { number, .. } => {
-                if zone.instances.len() >= MOST_INSTANCES && !zone.instances.contains_key(&number) {
+                if zone.instances.len() >= MAX_INSTANCES && !zone.instances.contains_key(&number) {
                     return;
                 }
                 zone.instances.entry(number).or_default()
             }
         };
-        raise(known, counts.iter().copied());
+        merge_sums(known, counts.iter().copied());
     }
 
     /// Returns the sums of a window over all availability zones.
@@ -178,8 +181,8 @@
         totals
     }
 
-    /// Returns the sums of an availability zone, of `most` accounts at most in each piece.
-    pub fn zone_counts(&self, zone: u32, most: usize) -> Vec<WindowCounts> {
+    /// Returns the sums of an availability zone, in pieces of at most `max_accounts` accounts.
+    pub fn zone_counts(&self, zone: u32, max_accounts: usize) -> Vec<WindowCounts> {
         let windows = self.windows.iter();
         let of_zone = windows.filter_map(|(window, zones)| Some((*window, zones.get(&zone)?)));
         of_zone
@@ -187,15 +190,16 @@
                 let mut sums: Vec<_> = usage.sums().into_iter().collect();
                 sums.sort_unstable();
                 let piece = move |counts: &[_]| WindowCounts { window, counts: counts.to_vec() };
-                sums.chunks(most.max(1)).map(piece).collect::<Vec<_>>()
+                sums.chunks(max_accounts.max(1)).map(piece).collect::<Vec<_>>()
             })
             .collect()
     }
 
-    /// Takes the own sums that have changed since they were taken last, of `most` accounts at most.
-    pub fn take_changes(&mut self, most: usize) -> Vec<WindowCounts> {
+    /// Takes the sums of this instance that changed since they were last taken, for at most
+    /// `max_accounts` accounts.
+    pub fn take_changes(&mut self, max_accounts: usize) -> Vec<WindowCounts> {
         let mut changes: Vec<WindowCounts> = Vec::new();
-        for _ in 0..most {
+        for _ in 0..max_accounts {
             let Some((window, account)) = self.changed.pop_first() else { break };
             let count = self.own.get(&window).and_then(|counts| counts.get(&account));
             let Some(count) = count.copied() else { continue };
@@ -207,25 +211,27 @@
         changes
     }
 
-    /// Has the own sums of a window told again, in case that some were lost; `None` for those of all.
+    /// Marks the sums of this instance in a window as changed, so that they are sent again in case
+    /// some were lost. `None` marks all windows.
     pub fn resend(&mut self, window: Option<u64>) {
         let all = self.own.iter().filter(|(one, _)| window.is_none_or(|window| **one == window));
         let changes = all.flat_map(|(one, counts)| counts.keys().map(|account| (*one, *account)));
         self.changed.extend(changes);
     }
 
-    /// Forgets windows that are too old to be reported; `current` is the window now.
+    /// Drops windows that are too old to be reported; `current` is the present window.
     pub fn forget(&mut self, current: u64) {
-        let oldest = current.saturating_sub(KEPT_WINDOWS);
+        let oldest = current.saturating_sub(RETAINED_WINDOWS);
         self.windows = self.windows.split_off(&oldest);
         self.own = self.own.split_off(&oldest);
         self.changed.retain(|(window, _)| *window >= oldest);
     }
 }
 
-fn raise(known: &mut Counts, counts: impl Iterator<Item = (AccountCode, u32)>) {
+/// Sets each known sum to the maximum of itself and the given one.
+fn merge_sums(known: &mut Counts, counts: impl Iterator<Item = (AccountCode, u32)>) {
     for (account, count) in counts {
-        if known.len() >= MOST_ACCOUNTS && !known.contains_key(&account) {
+        if known.len() >= MAX_ACCOUNTS && !known.contains_key(&account) {
             return;
         }
         let before = known.entry(account).or_default();
@@ -235,64 +241,66 @@
 
 #[cfg(test)]
 mod tests {
-    use super::{AccountCode, KEPT_WINDOWS, Source, UsageCounters, WindowCounts};
+    use super::{AccountCode, RETAINED_WINDOWS, Source, UsageCounters, WindowCounts};
 
     const KITCHEN: AccountCode = AccountCode(1);
     const OWN: Source = Source::Instance { zone: 1, number: 1 };
 
-    fn told(window: u64, count: u32) -> Vec<WindowCounts> {
+    fn counts_of(window: u64, count: u32) -> Vec<WindowCounts> {
         vec![WindowCounts { window, counts: vec![(KITCHEN, count)] }]
     }
 
-    /// News that comes doubled, late or out of order makes a report wrong.
+    /// Guards against wrong sums when updates arrive duplicated, late or out of order.
     #[test]
-    fn verify_old_and_doubled_news_change_nothing() {
-        let (mut book, peer) = (UsageCounters::new(), Source::Instance { zone: 1, number: 2 });
+    fn verify_old_and_duplicated_updates_change_nothing() {
+        let (mut counters, peer) = (UsageCounters::new(), Source::Instance { zone: 1, number: 2 });
         for count in [3, 5, 5, 4] {
-            book.merge(peer, &told(9, count), 9);
+            counters.merge(peer, &counts_of(9, count), 9);
         }
-        book.count(OWN, KITCHEN, 9);
+        counters.count(OWN, KITCHEN, 9);
 
-        assert_eq!(book.totals(9)[&KITCHEN], 6);
+        assert_eq!(counters.totals(9)[&KITCHEN], 6);
     }
 
-    /// The sum of a zone and those of its instances, heard both, count the same requests twice.
+    /// Guards against counting requests twice when both the sum of a zone and the sums of its
+    /// instances are received.
     #[test]
     fn verify_a_zones_sum_and_its_instances_are_not_added() {
-        let mut book = UsageCounters::new();
-        book.merge(Source::Zone(2), &told(9, 10), 9);
-        book.merge(Source::Instance { zone: 2, number: 2 }, &told(9, 4), 9);
-        assert_eq!(book.totals(9)[&KITCHEN], 10);
+        let mut counters = UsageCounters::new();
+        counters.merge(Source::Zone(2), &counts_of(9, 10), 9);
+        counters.merge(Source::Instance { zone: 2, number: 2 }, &counts_of(9, 4), 9);
+        assert_eq!(counters.totals(9)[&KITCHEN], 10);
 
-        book.merge(Source::Instance { zone: 2, number: 3 }, &told(9, 8), 9);
-        assert_eq!(book.totals(9)[&KITCHEN], 12);
+        counters.merge(Source::Instance { zone: 2, number: 3 }, &counts_of(9, 8), 9);
+        assert_eq!(counters.totals(9)[&KITCHEN], 12);
     }
 
-    /// An instance that starts again loses what its last start has counted.
+    /// Guards against losing the counts of an instance's previous process when it restarts.
     #[test]
-    fn verify_another_start_counts_beside_the_one_before() {
-        let mut book = UsageCounters::new();
+    fn verify_a_restart_keeps_the_counts_of_the_previous_process() {
+        let mut counters = UsageCounters::new();
         for number in [2, 3] {
-            book.merge(Source::Instance { zone: 1, number }, &told(9, 4), 9);
+            counters.merge(Source::Instance { zone: 1, number }, &counts_of(9, 4), 9);
         }
 
-        assert_eq!(book.totals(9)[&KITCHEN], 8);
+        assert_eq!(counters.totals(9)[&KITCHEN], 8);
     }
 
-    /// A long-lived instance keeps every window, or one of another writer's.
+    /// Guards against a long-lived instance that retains all windows, or windows far from the present
+    /// one that another instance sent.
     #[test]
     fn verify_windows_are_bounded() {
-        let mut book = UsageCounters::new();
+        let mut counters = UsageCounters::new();
         for window in 0..100 {
-            book.count(OWN, KITCHEN, window);
+            counters.count(OWN, KITCHEN, window);
         }
-        book.merge(Source::Zone(2), &told(u64::MAX, 1), 99);
-        book.merge(Source::Zone(2), &told(5, 1), 99);
-
-        assert_eq!(book.windows.len() as u64, KEPT_WINDOWS + 1);
-        assert_eq!(book.take_changes(1_000).len() as u64, KEPT_WINDOWS + 1);
-        assert_eq!(book.take_changes(1_000), []);
-        book.resend(Some(99));
-        assert_eq!(book.take_changes(1_000), told(99, 1));
+        counters.merge(Source::Zone(2), &counts_of(u64::MAX, 1), 99);
+        counters.merge(Source::Zone(2), &counts_of(5, 1), 99);
+
+        assert_eq!(counters.windows.len() as u64, RETAINED_WINDOWS + 1);
+        assert_eq!(counters.take_changes(1_000).len() as u64, RETAINED_WINDOWS + 1);
+        assert_eq!(counters.take_changes(1_000), []);
+        counters.resend(Some(99));
+        assert_eq!(counters.take_changes(1_000), counts_of(99, 1));
     }
 }
--- a/crates/anvilhook-core/tests/routing.rs
+++ b/crates/anvilhook-core/tests/routing.rs
@@ -130,7 +130,7 @@
 
     for ((boot, seq), sent, expected) in steps {
         let told = SentSince { boot, seq, sent };
-        let beyond = told.beyond(earlier.as_ref());
+        let beyond = told.added_since(earlier.as_ref());
         assert_eq!(beyond, expected, "{told:?}");
         engine.record_peer_sent(&beyond, now);
         earlier = Some(told);
--- a/crates/anvilhook-daemon/src/instances/loads.rs
+++ b/crates/anvilhook-daemon/src/instances/loads.rs
@@ -258,7 +258,7 @@
     for digest in &heard.body.engines {
         let Some(engine) = states.get(&digest.engine) else { continue };
         let since = sent_since(digest);
-        let sent = since.beyond(before.get(&digest.engine));
+        let sent = since.added_since(before.get(&digest.engine));
         if sent != SentTotals::default() {
             engine.record_peer_sent(&sent, written_at);
         }
