--- a/crates/anvilhook-core/src/resources/accounts.rs
+++ b/crates/anvilhook-core/src/resources/accounts.rs
@@ -1,4 +1,4 @@
-//! Accounts of callers.
+//! The accounts of callers.
 
 use serde::{Deserialize, Serialize};
 
@@ -14,14 +14,14 @@
 pub struct AccountSpec {
     /// The SHA-256 digests of the bearer tokens that the account may present, in hexadecimal.
     pub token_sha256: Vec<String>,
-    /// The most requests that may be admitted in a second over all instances.
+    /// The maximum number of requests admitted per second over all instances.
     pub requests_per_s: u32,
-    /// The most requests that may be open at once over all instances.
+    /// The maximum number of open requests over all instances.
     pub open_requests: u32,
 }
 
 impl AccountSpec {
-    /// Checks the account's own rules.
+    /// Checks the rules on the account's own fields.
     pub(super) fn check(&self) -> Result<()> {
         for (i, digest) in self.token_sha256.iter().enumerate() {
             let is_digest =
--- a/crates/anvilhook-core/src/resources/changes.rs
+++ b/crates/anvilhook-core/src/resources/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, and the rules that each must keep.
+//! Changes of the configuration, and the rules that each change must keep.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,12 +8,12 @@
 use crate::names::PoolName;
 use crate::units::Revision;
 
-/// `Change` is one resource declared, replaced or deleted.
+/// `Change` declares, replaces or deletes one resource.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Change {
     /// The resource.
     pub key: ResourceKey,
-    /// What is done to it.
+    /// What the change does to it.
     pub action: Action,
 }
 
@@ -21,31 +21,31 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Action {
-    /// Declares it, or replaces its spec.
+    /// Declares the resource, or replaces its spec.
     Put(Spec),
-    /// Deletes it.
+    /// Deletes the resource.
     Delete,
 }
 
-/// `Expected` is what a change expects to find, for compare-and-set.
+/// `Expected` is the state of a resource that a change expects, for compare-and-set.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Expected {
-    /// No such resource.
+    /// The resource does not exist.
     Absent,
-    /// The resource in any version.
+    /// The resource exists in any version.
     Present,
-    /// The resource as this revision wrote it.
+    /// The resource exists as this revision wrote it.
     Version(Revision),
 }
 
 impl Expected {
-    /// Returns whether what stands is what the change expects.
-    pub fn matches(self, standing: Option<Revision>) -> bool {
+    /// Returns whether the current version of the resource is the expected one.
+    pub fn matches(self, current: Option<Revision>) -> bool {
         match self {
-            Expected::Absent => standing.is_none(),
-            Expected::Present => standing.is_some(),
-            Expected::Version(version) => standing == Some(version),
+            Expected::Absent => current.is_none(),
+            Expected::Present => current.is_some(),
+            Expected::Version(version) => current == Some(version),
         }
     }
 }
@@ -55,14 +55,15 @@
     ///
     /// # Errors
     ///
-    /// `Error::BadField` for a field of the change's own spec that breaks a rule or names something
-    /// that is not declared or that something else claims already, and `Error::WouldStrand` if something else would lose what it needs.
+    /// `Error::BadField` for a field of the change's own spec that breaks a rule, names a resource that
+    /// is not declared, or claims an identity that another resource has. `Error::WouldStrand` if another
+    /// resource would lose something that it refers to.
     pub fn check(&self, base: &Configuration) -> Result<()> {
         let after = base.with_change(base.revision(), self);
         if let Action::Put(spec) = &self.action {
             spec.check()?;
-            if let Some(standing) = base.get(&self.key) {
-                spec.check_replacing(&standing.spec)?;
+            if let Some(current) = base.get(&self.key) {
+                spec.check_replacing(&current.spec)?;
             }
             check_own_references(spec, &after)?;
             identities::check(&self.key, spec, &after)?;
@@ -74,7 +75,7 @@
         Err(Error::would_strand(&self.key, stranded))
     }
 
-    /// Lists what stood firm before the change and does not after it.
+    /// Lists the resources whose references hold before the change but not after it.
     fn stranded(&self, base: &Configuration, after: &Configuration) -> Vec<String> {
         let others = after.resources().filter(|resource| resource.key() != self.key);
         let mut stranded = Vec::new();
@@ -96,8 +97,9 @@
     }
 }
 
-/// Lists the pools that a change takes below the number of engines that must go on serving. A pool
-/// that has not reached its number yet is still being declared and does not count.
+/// Lists the pools that a change takes below the number of engines that must go on serving. The check
+/// does not apply to a pool whose engine count does not fall, since it may still be in the course of
+/// being declared.
 fn short_pools(base: &Configuration, after: &Configuration) -> Vec<String> {
     let mut short = Vec::new();
     for resource in after.of_kind(Kind::EnginePool) {
@@ -105,9 +107,9 @@
         let Ok(name) = PoolName::try_new(resource.name.as_str()) else { continue };
         let min = pool.min_serving as usize;
         let now = engines_of(base, &name);
-        let then = engines_of(after, &name);
-        if then < now && then < min {
-            short.push(format!("{} (spec.min_serving is {min}, left {then})", resource.key()));
+        let left = engines_of(after, &name);
+        if left < now && left < min {
+            short.push(format!("{} (spec.min_serving is {min}, left {left})", resource.key()));
         }
     }
     short
--- a/crates/anvilhook-core/src/resources/conditions.rs
+++ b/crates/anvilhook-core/src/resources/conditions.rs
@@ -1,4 +1,4 @@
-//! What is known of a resource's actual state, and why it is so.
+//! Conditions describe a resource's actual state and its reasons.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,11 +7,11 @@
 /// `ConditionState` says whether a condition holds.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ConditionState {
-    /// It holds.
+    /// The condition holds.
     True,
-    /// It does not hold.
+    /// The condition does not hold.
     False,
-    /// It is not known.
+    /// It is not known whether the condition holds.
     Unknown,
 }
 
@@ -23,10 +23,10 @@
     pub kind: String,
     /// Whether it holds.
     pub state: ConditionState,
-    /// Why, as one word for programs, such as `AwaitingPredecessor`.
+    /// The reason, as one word for programs, such as `AwaitingPredecessor`.
     pub reason: String,
-    /// Why, as a sentence for people.
+    /// The reason, as a sentence for people.
     pub message: String,
-    /// Since when the state has been so.
+    /// The time since which the condition has had this state.
     pub since: WallTime,
 }
--- a/crates/anvilhook-core/src/resources/configurations.rs
+++ b/crates/anvilhook-core/src/resources/configurations.rs
@@ -1,4 +1,4 @@
-//! The configuration: all resources as they stood after one change.
+//! The configuration contains all resources as of one change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -8,8 +8,8 @@
 use super::{Action, Change, Kind, Resource, ResourceKey};
 use crate::units::Revision;
 
-/// `Configuration` is an immutable state of all resources. It is handed to the request path as a
-/// whole, so that no request sees half of a change.
+/// `Configuration` is an immutable state of all resources. It is passed to the request path as a whole,
+/// so that no request sees a partly applied change.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     revision: Revision,
@@ -17,13 +17,13 @@
 }
 
 impl Configuration {
-    /// Makes the configuration of the given revision.
+    /// Creates the configuration of the given revision.
     pub fn new(revision: Revision, resources: impl IntoIterator<Item = Resource>) -> Self {
         let keyed = resources.into_iter().map(|resource| (resource.key(), Arc::new(resource)));
         Self { revision, resources: keyed.collect() }
     }
 
-    /// Returns the configuration that a change of this one leads to. Unchanged resources are shared.
+    /// Returns the configuration after resources were put and deleted. Unchanged resources are shared.
     pub fn changed(
         &self,
         revision: Revision,
@@ -43,17 +43,17 @@
         self.revision
     }
 
-    /// Returns the configuration after one more change, which is not checked here.
+    /// Returns the configuration after one more change. The change is not checked here.
     pub fn with_change(&self, revision: Revision, change: &Change) -> Self {
         let mut next = self.clone();
         next.apply(revision, change);
         next
     }
 
-    /// Applies one more change, which is not checked here.
+    /// Applies one more change. The change is not checked here.
     ///
-    /// Applying changes that the configuration already contains, in order, changes nothing but the
-    /// revision. A scan that raced with changes is mended by applying those changes again.
+    /// Applying changes that the configuration already contains, in order, changes only the revision.
+    /// A scan that raced with changes is therefore corrected by applying those changes again.
     pub fn apply(&mut self, revision: Revision, change: &Change) {
         self.revision = revision;
         match &change.action {
@@ -77,18 +77,18 @@
         self.resources.get(key)
     }
 
-    /// Returns all resources in the order of kind and name.
+    /// Returns all resources, ordered by kind and name.
     pub fn resources(&self) -> impl Iterator<Item = &Arc<Resource>> {
         self.resources.values()
     }
 
-    /// Returns all resources of one kind in the order of their names.
+    /// Returns all resources of one kind, ordered by name.
     pub fn of_kind(&self, kind: Kind) -> impl Iterator<Item = &Arc<Resource>> {
         self.resources.values().filter(move |resource| resource.spec.kind() == kind)
     }
 }
 
-/// `PlainConfiguration` is the form in which a configuration crosses the peer link.
+/// `PlainConfiguration` is the serialized form of a configuration on peer links.
 #[derive(Deserialize, Serialize)]
 struct PlainConfiguration {
     revision: Revision,
--- a/crates/anvilhook-core/src/resources/drain_plans.rs
+++ b/crates/anvilhook-core/src/resources/drain_plans.rs
@@ -1,4 +1,4 @@
-//! Plans to take engines out of service without cutting a request.
+//! Plans that take engines out of service without truncating an answer.
 
 use serde::{Deserialize, Serialize};
 
@@ -13,21 +13,21 @@
 pub struct DrainPlanSpec {
     /// The pool that the engines belong to.
     pub pool: PoolName,
-    /// Which of its engines.
+    /// The engines of the pool to drain.
     pub target: DrainTarget,
-    /// The most engines that drain at once, by default 1.
+    /// The maximum number of engines that drain at once, by default 1.
     #[serde(default = "default_max_at_once")]
     pub max_at_once: u32,
-    /// The least time from one engine's drain to the next one's, by default none.
+    /// The minimum time between the drains of two engines, by default none.
     #[serde(default)]
     pub pace_ms: Millis,
-    /// The fewest engines of the pool that must go on serving, by default 1.
+    /// The minimum number of engines of the pool that must go on serving, by default 1.
     #[serde(default = "default_min_serving")]
     pub min_serving: u32,
 }
 
 impl DrainPlanSpec {
-    /// Checks the plan's own rules.
+    /// Checks the rules on the plan's own fields.
     pub(super) fn check(&self) -> Result<()> {
         require(self.max_at_once > 0, "max_at_once", "at least 1")?;
         match &self.target {
@@ -51,8 +51,8 @@
     1
 }
 
-/// `DrainTarget` says which engines of a pool a plan drains. Of several availability zones only one
-/// drains at a time.
+/// `DrainTarget` selects the engines of a pool that a plan drains. Only one of several availability
+/// zones drains at a time.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub enum DrainTarget {
--- a/crates/anvilhook-core/src/resources/engine_pools.rs
+++ b/crates/anvilhook-core/src/resources/engine_pools.rs
@@ -7,7 +7,7 @@
 use crate::orders::ModelRef;
 use crate::units::Millis;
 
-/// `EnginePoolSpec` declares a pool: the unit of authority, of role planning and of drains.
+/// `EnginePoolSpec` declares a pool, which is the unit of authority, of role planning and of drains.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct EnginePoolSpec {
@@ -16,13 +16,13 @@
     /// How roles are planned.
     #[serde(default)]
     pub roles: RolePolicy,
-    /// The fewest engines that must go on serving during planned changes, by default 1.
+    /// The minimum number of engines that must go on serving during planned changes, by default 1.
     #[serde(default = "default_min_serving")]
     pub min_serving: u32,
 }
 
 impl EnginePoolSpec {
-    /// Checks the pool's own rules.
+    /// Checks the rules on the pool's own fields.
     pub(super) fn check(&self) -> Result<()> {
         require(self.model.version > 0, "model.version", "a version from 1")?;
         let weight = self.roles.change_weight;
@@ -42,19 +42,19 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RolePolicy {
-    /// Whether the planner may change roles. If not, roles stay as declared.
+    /// Whether the planner may change roles. Otherwise roles stay as declared.
     pub automatic: bool,
-    /// The weight of a change's cost against the goodput that it gains. The Association sets it
-    /// high, Papadakis low.
+    /// The weight of a change's cost relative to the goodput that it gains. A higher weight means fewer
+    /// role changes: the Association sets it high, Papadakis low.
     pub change_weight: f64,
-    /// The greatest share of the pool, from 0 to 1, that may be in a change at once.
+    /// The maximum share of the pool, from 0 to 1, that may change roles at once.
     pub max_changing_share: f64,
-    /// The least time between two changes of one engine.
+    /// The minimum time between two role changes of one engine.
     pub min_dwell_ms: Millis,
 }
 
 impl Default for RolePolicy {
-    /// Returns a policy that changes no role until an operator asks for it.
+    /// Returns a policy that changes no role unless an operator requests it.
     fn default() -> Self {
         Self {
             automatic: false,
--- a/crates/anvilhook-core/src/resources/engines.rs
+++ b/crates/anvilhook-core/src/resources/engines.rs
@@ -15,12 +15,13 @@
 pub struct EngineSpec {
     /// The pool that it belongs to.
     pub pool: PoolName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it is said to refuse orders with an old fencing number. The engine says so itself
-    /// when it is met; if the two disagree, `Ignores` holds. The default is the safer `Ignores`.
+    /// Whether the engine is declared to refuse orders with an old fencing number. The engine itself
+    /// also reports this when an instance contacts it; if the two disagree, `Ignores` applies. The
+    /// default is `Ignores`, the safer value.
     #[serde(default)]
     pub fencing: Fencing,
     /// The role that it should have where the planner does not decide, by default `Mixed`.
@@ -29,7 +30,7 @@
 }
 
 impl EngineSpec {
-    /// Checks the engine's own rules.
+    /// Checks the rules on the engine's own fields.
     pub(super) fn check(&self) -> Result<()> {
         let can_be_reached = self.address.port() != 0 && !self.address.ip().is_unspecified();
         require(can_be_reached, "address", "an IP address and port that can be connected to")
@@ -37,16 +38,17 @@
 }
 
 impl EngineSpec {
-    /// Checks that this may take the place of what stands.
+    /// Checks that this spec may replace the current one, which must be of the same pool.
     ///
-    /// Authority goes by pools. While a holder of the old pool's lease has not heard of the move, the
-    /// new pool's holder would give orders to the same engine, and both leases would be valid.
-    pub(super) fn check_replacing(&self, standing: &EngineSpec) -> Result<()> {
+    /// Each pool has its own authority. If an engine moved to another pool, the holder of the new
+    /// pool's lease could give it orders while the holder of the old pool's lease has not yet learnt of
+    /// the move, and both leases would be valid.
+    pub(super) fn check_replacing(&self, current: &EngineSpec) -> Result<()> {
         let expected = format!(
-            "{} as declared; to move the engine drain it, delete it, and declare it anew",
-            standing.pool
+            "{} as declared; to move the engine drain it, delete it, and declare it again",
+            current.pool
         );
-        require(self.pool == standing.pool, "pool", &expected)
+        require(self.pool == current.pool, "pool", &expected)
     }
 }
 
@@ -58,9 +60,9 @@
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// It refuses the order.
+    /// The engine refuses the order.
     Checks,
-    /// It carries the order out.
+    /// The engine executes the order.
     #[default]
     Ignores,
 }
--- a/crates/anvilhook-core/src/resources/identities.rs
+++ b/crates/anvilhook-core/src/resources/identities.rs
@@ -1,4 +1,4 @@
-//! What only one resource may claim.
+//! Checks identities that only one resource may claim, such as an address or a token.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -8,22 +8,22 @@
 use crate::names::PoolName;
 use crate::orders::{ModelRef, Role};
 
-/// `Identity` is a thing in the world that a resource stands for.
+/// `Identity` is a real object that a resource represents. Only one resource may claim it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 enum Identity<'a> {
-    /// The engine at an address. Declared twice, in two pools, it would have two authorities and be
-    /// given conflicting orders.
+    /// The engine at an address. If it were declared in two pools, it would have two authorities and
+    /// receive conflicting orders.
     Engine(SocketAddr),
-    /// A version of a model. Declared twice it would have two sets of weights.
+    /// A version of a model. If it were declared twice, it would have two sets of weights.
     Model(&'a ModelRef),
-    /// The bounds of a role in a pool. Declared twice they could exclude each other.
+    /// The bounds of a role in a pool. If they were declared twice, they could contradict each other.
     Role(&'a PoolName, Role),
-    /// The bearer of a token. Declared twice its requests could be anyone's.
+    /// The bearer of a token. If two accounts had it, its requests could belong to either.
     Token(&'a str),
 }
 
 impl fmt::Display for Identity<'_> {
-    /// Says what is expected in the field that holds the identity.
+    /// Writes what is expected in the field that holds the identity.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Identity::Engine(_) => "an address that no other engine has",
@@ -34,7 +34,7 @@
     }
 }
 
-/// Checks that nothing else claims what a spec claims.
+/// Checks that no other resource claims an identity that the spec claims.
 pub(super) fn check(key: &ResourceKey, spec: &Spec, after: &Configuration) -> Result<()> {
     for (field, identity) in of(spec) {
         let others = after.of_kind(key.kind).filter(|other| other.name != key.name);
--- a/crates/anvilhook-core/src/resources/kinds.rs
+++ b/crates/anvilhook-core/src/resources/kinds.rs
@@ -13,27 +13,27 @@
 use crate::names::ResourceName;
 use crate::units::Revision;
 
-/// `Kind` tells the kinds of resources apart.
+/// `Kind` is the kind of a resource.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub enum Kind {
-    /// A caller's account with its credentials and limits.
+    /// A caller's account, with its credentials and limits.
     Account,
-    /// What callers ask for.
+    /// A service that callers send requests to.
     Service,
     /// Engines that share models and a role policy.
     EnginePool,
     /// One model engine.
     Engine,
-    /// How many engines of a pool may hold a role.
+    /// The bounds on how many engines of a pool may hold a role.
     Role,
-    /// A version of a model and where its weights are.
+    /// A version of a model, and the location of its weights.
     ModelVersion,
     /// A plan to take engines out of service.
     DrainPlan,
 }
 
 impl Kind {
-    /// All kinds, in an order in which each refers only to kinds before it or to itself.
+    /// All kinds, ordered so that each refers only to itself and to kinds before it.
     pub const ALL: [Kind; 7] = [
         Kind::Account,
         Kind::ModelVersion,
@@ -44,7 +44,7 @@
         Kind::DrainPlan,
     ];
 
-    /// Returns the kind's name as it stands in YAML and in paths.
+    /// Returns the kind's name as used in YAML and in paths.
     pub fn as_str(self) -> &'static str {
         match self {
             Kind::Account => "Account",
@@ -82,7 +82,7 @@
 pub enum Spec {
     /// A caller's account.
     Account(AccountSpec),
-    /// What callers ask for.
+    /// A service that callers send requests to.
     Service(ServiceSpec),
     /// A pool of engines.
     EnginePool(EnginePoolSpec),
@@ -110,11 +110,11 @@
         }
     }
 
-    /// Reads the spec of a kind from any self-describing format.
+    /// Decodes the spec of a kind from any self-describing format.
     ///
     /// # Errors
     ///
-    /// `Error::BadField` with the path of the first field that does not fit, such as
+    /// `Error::BadField` with the path of the first field that cannot be decoded, such as
     /// `spec.address`.
     ///
     /// ```
@@ -136,7 +136,7 @@
         })
     }
 
-    /// Checks the rules that the spec must keep by itself, whatever else is declared.
+    /// Checks the rules on the spec that do not depend on other resources.
     ///
     /// # Errors
     ///
@@ -153,10 +153,10 @@
         }
     }
 
-    /// Checks the rules between the spec and the one whose place it takes.
-    pub(super) fn check_replacing(&self, standing: &Spec) -> Result<()> {
-        match (self, standing) {
-            (Spec::Engine(spec), Spec::Engine(standing)) => spec.check_replacing(standing),
+    /// Checks the rules between the spec and the current one that it replaces.
+    pub(super) fn check_replacing(&self, current: &Spec) -> Result<()> {
+        match (self, current) {
+            (Spec::Engine(spec), Spec::Engine(current)) => spec.check_replacing(current),
             _ => Ok(()),
         }
     }
@@ -165,17 +165,17 @@
 fn decode_fields<'de, T: Deserialize<'de>, D: Deserializer<'de>>(de: D) -> Result<T> {
     serde_path_to_error::deserialize(de).map_err(|err| {
         let path = err.path().to_string();
-        let place = if path == "." { "spec".to_owned() } else { format!("spec.{path}") };
+        let field = if path == "." { "spec".to_owned() } else { format!("spec.{path}") };
         let message = err.inner().to_string();
         match missing_field(&message) {
-            Some(field) => Error::bad_field(format!("{place}.{field}"), "a value"),
-            None => Error::bad_field(place, format!("another value: {message}")),
+            Some(missing) => Error::bad_field(format!("{field}.{missing}"), "a value"),
+            None => Error::bad_field(field, format!("another value: {message}")),
         }
     })
 }
 
-/// Returns the name of the field that is missing. Its path ends where the field should be, so only
-/// the message of `serde::de::Error::missing_field` has the name.
+/// Returns the name of the missing field, if the message is about one. The path of such an error ends
+/// at the parent, so only the message of `serde::de::Error::missing_field` contains the name.
 fn missing_field(message: &str) -> Option<&str> {
     let rest = message.strip_prefix("missing field `")?;
     rest.split('`').next()
@@ -196,19 +196,19 @@
     }
 }
 
-/// `Resource` is a declared thing: what it should be, and what is known of it.
+/// `Resource` is a declared resource with its desired state and the known actual state.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Resource {
     /// The name within the kind.
     pub name: ResourceName,
-    /// The version, for compare-and-set: the revision of the change that wrote the resource last.
-    /// Zero stands for a resource that has not been stored yet.
+    /// The version for compare-and-set: the revision of the change that last wrote the resource. Zero
+    /// means that the resource has not been stored yet.
     #[serde(default)]
     pub version: Revision,
     /// The desired state.
     #[serde(flatten)]
     pub spec: Spec,
-    /// What is known of the actual state.
+    /// The known conditions of the actual state.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub status: Vec<Condition>,
 }
--- a/crates/anvilhook-core/src/resources/mod.rs
+++ b/crates/anvilhook-core/src/resources/mod.rs
@@ -1,4 +1,4 @@
-//! What operators declare: the kinds of resources, and the configuration they add up to.
+//! The resources that operators declare, and the configuration that they form.
 
 mod accounts;
 mod audits;
--- a/crates/anvilhook-core/src/resources/model_versions.rs
+++ b/crates/anvilhook-core/src/resources/model_versions.rs
@@ -21,7 +21,7 @@
 }
 
 impl ModelVersionSpec {
-    /// Checks the model version's own rules.
+    /// Checks the rules on the model version's own fields.
     pub(super) fn check(&self) -> Result<()> {
         require(self.model.version > 0, "model.version", "a version from 1")?;
         require(!self.weights.is_empty(), "weights", "the key of the weights in the weight store")?;
--- a/crates/anvilhook-core/src/resources/references.rs
+++ b/crates/anvilhook-core/src/resources/references.rs
@@ -1,4 +1,4 @@
-//! What a resource needs others to be.
+//! References from one resource to others, and the check that they hold.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 use crate::names::{ModelName, PoolName, ResourceName, UpstreamName};
 use crate::orders::ModelRef;
 
-/// `Reference` is one thing that a resource needs, and the field that says so.
+/// `Reference` is one requirement of a resource on others, with the field that contains it.
 #[derive(Clone, Debug)]
 pub(super) struct Reference {
     /// The field's path, such as `spec.pool`.
@@ -24,10 +24,10 @@
     Pool(PoolName),
     /// A declared version of a model.
     ModelVersion(ModelRef),
-    /// A pool that serves a model in some version.
+    /// A pool that serves any version of a model.
     ServedModel(PoolName, ModelName),
-    /// An engine of a pool. A plan may outlive the engine that it drained, or else the plan would
-    /// have to be deleted first, which puts the engine back into service.
+    /// An engine of a pool. A drain plan may outlive the engine that it drained. Otherwise the plan
+    /// would have to be deleted before the engine, which would put the engine back into service.
     PoolEngine(PoolName, UpstreamName),
 }
 
@@ -36,12 +36,12 @@
         Self { field: field.into(), target }
     }
 
-    /// Returns whether the reference must go on holding after its resource was declared.
+    /// Returns whether the reference must still hold after its resource has been declared.
     pub(super) fn is_lasting(&self) -> bool {
         !matches!(self.target, Target::PoolEngine(..))
     }
 
-    /// Returns whether the configuration has what the reference points to.
+    /// Returns whether the configuration contains the target of the reference.
     pub(super) fn holds(&self, cfg: &Configuration) -> bool {
         match &self.target {
             Target::Pool(pool) => find_pool(cfg, pool).is_some(),
@@ -60,7 +60,7 @@
 }
 
 impl fmt::Display for Reference {
-    /// Says what is expected in the field.
+    /// Writes what is expected in the field.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match &self.target {
             Target::Pool(pool) => write!(f, "a declared EnginePool, but there is no {pool}"),
@@ -77,7 +77,7 @@
     }
 }
 
-/// Lists what a spec needs.
+/// Lists the references of a spec.
 pub(super) fn of(spec: &Spec) -> Vec<Reference> {
     let pool = |pool: &PoolName| Reference::new("spec.pool", Target::Pool(pool.clone()));
     match spec {
@@ -89,9 +89,9 @@
         Spec::Role(role) => vec![pool(&role.pool)],
         Spec::Service(service) => of_service(service),
         Spec::DrainPlan(plan) => {
-            let mut wanted = vec![pool(&plan.pool)];
-            wanted.extend(of_drained_engines(plan));
-            wanted
+            let mut references = vec![pool(&plan.pool)];
+            references.extend(of_drained_engines(plan));
+            references
         }
     }
 }
--- a/crates/anvilhook-core/src/resources/roles.rs
+++ b/crates/anvilhook-core/src/resources/roles.rs
@@ -15,14 +15,14 @@
     pub pool: PoolName,
     /// The role.
     pub role: Role,
-    /// The fewest engines that hold it.
+    /// The minimum number of engines that hold the role.
     pub min_engines: u32,
-    /// The most engines that hold it.
+    /// The maximum number of engines that hold the role.
     pub max_engines: u32,
 }
 
 impl RoleSpec {
-    /// Checks the rules of the bounds among themselves.
+    /// Checks that the bounds are consistent with each other.
     pub(super) fn check(&self) -> Result<()> {
         let in_order = self.min_engines <= self.max_engines;
         require(in_order, "max_engines", "at least spec.min_engines")
--- a/crates/anvilhook-core/src/resources/services.rs
+++ b/crates/anvilhook-core/src/resources/services.rs
@@ -1,4 +1,4 @@
-//! Services: what callers ask for and what they are promised.
+//! Services that callers send requests to, with their deadlines and limits.
 
 use std::net::SocketAddr;
 
@@ -13,9 +13,9 @@
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceSpec {
-    /// Who answers.
+    /// The backend that answers requests.
     pub backend: ServiceBackend,
-    /// The deadline of a request that names none, from its arrival, by default 60 s.
+    /// The deadline of a request that sets none, counted from its arrival, by default 60 s.
     #[serde(default = "defaults::deadline")]
     pub deadline_ms: Millis,
     /// The longest time from sending a request to the first byte or event of its answer, by default
@@ -25,8 +25,8 @@
     /// The longest time between two events of a streamed answer, by default 5 s.
     #[serde(default = "defaults::between_events")]
     pub between_events_ms: Millis,
-    /// The priority of a request that names none; the smaller goes first. Alerts and ledger records
-    /// use 0, verdicts 1, quick questions 2 unless an operator decides otherwise. The default is 1.
+    /// The priority of a request that sets none; a lower number goes first. Unless an operator decides
+    /// otherwise, alerts and ledger records use 0, verdicts 1 and quick questions 2. The default is 1.
     #[serde(default = "defaults::priority")]
     pub priority: u8,
     /// The largest body of a request, in bytes, by default 8 MiB.
@@ -38,7 +38,7 @@
 }
 
 impl ServiceSpec {
-    /// Checks the service's own rules.
+    /// Checks the rules on the service's own fields.
     pub(super) fn check(&self) -> Result<()> {
         require(self.deadline_ms > Millis::ZERO, "deadline_ms", "at least 1 ms")?;
         require(self.first_byte_ms > Millis::ZERO, "first_byte_ms", "at least 1 ms")?;
@@ -106,22 +106,23 @@
     }
 }
 
-/// `ServiceBackend` says who answers a service's requests.
+/// `ServiceBackend` is the kind of upstreams that answer a service's requests.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "type")]
 pub enum ServiceBackend {
-    /// Model engines answer chat completions. These have no side effects and are idempotent.
+    /// Model engines answer chat completions, which have no side effects and are idempotent.
     Model {
         /// The pool of engines.
         pool: PoolName,
-        /// The model that requests name.
+        /// The model that requests must name.
         model: ModelName,
     },
     /// Plain services answer application requests.
     Plain {
-        /// The upstreams, each able to answer any request.
+        /// The upstreams, each of which can answer any request.
         upstreams: Vec<PlainUpstream>,
-        /// The calls that the service offers. A path that no call matches is refused as not run.
+        /// The calls that the service offers. A request whose path matches no call is refused with the
+        /// verdict that it did not run.
         calls: Vec<CallSpec>,
     },
 }
@@ -132,7 +133,7 @@
 pub struct PlainUpstream {
     /// Its name.
     pub name: UpstreamName,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
@@ -144,9 +145,9 @@
 pub struct CallSpec {
     /// The method, such as `POST`.
     pub method: String,
-    /// The beginning of the path below the service, such as `/alerts`.
+    /// The prefix of the path below the service, such as `/alerts`.
     pub path_prefix: String,
-    /// Whether the call may be repeated without harm. A call that does not say is not repeated.
+    /// Whether the call may be repeated without harm, by default false.
     #[serde(default)]
     pub idempotent: bool,
 }
--- a/crates/anvilhook-core/src/units.rs
+++ b/crates/anvilhook-core/src/units.rs
@@ -1,4 +1,4 @@
-//! Units of time and amounts, and the clock that the decisions read.
+//! Units of time and amounts, and the clocks that decisions use.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Mul, Sub};
@@ -11,7 +11,7 @@
 
 /// `Millis` is a point on a clock or a span of time, in milliseconds.
 ///
-/// Subtraction saturates at zero, because a span between two readings is never negative.
+/// Subtraction saturates at zero, because a span between two clock readings is never negative.
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
@@ -26,10 +26,10 @@
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// No time at all, or the start of a clock.
+    /// An empty span, or the start of a clock.
     pub const ZERO: Millis = Millis(0);
 
-    /// The end of time, for a deadline that never comes.
+    /// The greatest value, for a deadline that is never reached.
     pub const MAX: Millis = Millis(u64::MAX);
 
     /// Returns a span of whole seconds.
@@ -84,13 +84,13 @@
     }
 }
 
-/// `Clock` reads a monotonic time. Only differences between two readings of one clock mean anything.
+/// `Clock` returns a monotonic time. Only differences between two readings of one clock are meaningful.
 pub trait Clock: Clone + Send + Sync + 'static {
     /// Returns the time since the clock's start.
     fn now(&self) -> Millis;
 }
 
-/// `SystemClock` is the machine's monotonic clock, starting at zero when it is made.
+/// `SystemClock` is the machine's monotonic clock. It starts at zero when it is created.
 #[derive(Clone, Copy, Debug)]
 pub struct SystemClock {
     started_at: Instant,
@@ -115,9 +115,9 @@
     }
 }
 
-/// `BootClock` is the machine's clock since its boot. It also counts the time for which the machine
-/// was suspended, which `SystemClock` does not: a lease would seem good after a suspension in which
-/// it lapsed, and orders would be given under it.
+/// `BootClock` is the machine's clock since its boot. Unlike `SystemClock` it also counts the time for
+/// which the machine was suspended. With `SystemClock`, a lease that expired during a suspension would
+/// still seem valid, and orders would be given under it.
 #[derive(Clone, Copy, Debug)]
 pub struct BootClock {
     started_at: Millis,
@@ -143,13 +143,13 @@
 }
 
 fn since_boot() -> Millis {
-    // Linux has this clock on every machine; without it no time could be told at all.
+    // Every Linux machine has this clock, and no decision is possible without it.
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the machine has a clock since boot");
     let nanos = u64::try_from(time.tv_nsec()).unwrap_or_default();
     Millis::from_secs(u64::try_from(time.tv_sec()).unwrap_or_default()) + Millis(nanos / 1_000_000)
 }
 
-/// `ManualClock` stands still until it is advanced. Clones share one time.
+/// `ManualClock` changes only when it is advanced. Clones share one time.
 ///
 /// ```
 /// use anvilhook_core::units::{Clock, ManualClock, Millis};
@@ -181,8 +181,8 @@
     }
 }
 
-/// `WallTime` is a time of day in milliseconds since the Unix epoch. It is for people to read in
-/// audit entries and status, and for what is reported by the time of day; one machine's may be off.
+/// `WallTime` is a wall-clock time in milliseconds since the Unix epoch. It is shown to people in audit
+/// entries and status, and used for reports by wall-clock time. One machine's clock may be wrong.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(transparent)]
 pub struct WallTime(pub u64);
@@ -210,7 +210,7 @@
     }
 }
 
-/// `Revision` numbers the states of the whole configuration. It only grows.
+/// `Revision` is the number of a state of the whole configuration. It only grows.
 #[derive(
     Clone, Copy, Debug, Default, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize,
 )]
--- a/crates/anvilhook-core/src/verdict.rs
+++ b/crates/anvilhook-core/src/verdict.rs
@@ -1,4 +1,4 @@
-//! The verdict on a failed attempt: may the request have run?
+//! The verdict on a failed attempt: whether the request may have run.
 
 use std::fmt;
 
@@ -6,8 +6,8 @@
 
 /// `Verdict` says whether a request may have run at its upstream.
 ///
-/// The order is from the least to the most that may have happened, so the verdict on a request of
-/// several attempts is the greatest of theirs.
+/// The variants are ordered from the least to the most that may have happened, so the verdict on a
+/// request with several attempts is the greatest of their verdicts.
 ///
 /// ```
 /// use anvilhook_core::Verdict;
@@ -19,7 +19,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Verdict {
     /// No byte of the request can have reached the upstream's application, or the upstream itself
-    /// said that it refused before running.
+    /// reported that it refused the request before running it.
     NotRun,
     /// It is not known whether the request ran.
     MayHaveRun,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Returns the text used in headers, bodies and logs.
+    /// Returns the text that is used in headers, bodies and logs.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::NotRun => "not-run",
--- a/crates/anvilhook-core/src/watches.rs
+++ b/crates/anvilhook-core/src/watches.rs
@@ -1,40 +1,43 @@
-//! Who follows a table for the others, and what is taken in of what they tell.
+//! Decides which instance follows a table for its availability zone, and which received changes can be
+//! applied.
 //!
-//! The load that this answers: a table that changes several times a second before hundreds of
-//! instances. If each instance asks for each change, the calls grow with instances times changes, and
-//! every call has its price. So in each availability zone one instance follows the table and tells the
-//! rest, who ask for themselves only where they have missed something.
+//! Designed for: a table that changes several times a second, with hundreds of instances. If each
+//! instance queried each change, the number of calls would be instances times changes, and every call
+//! has a cost. Therefore one instance of each availability zone follows the table and publishes its
+//! changes to the others, which query the table only for changes that they missed.
 //!
-//! No instance is special. Each judges by what it has heard of late, so that two may follow for a
-//! moment, which costs a call, and that nobody follows only until the silence of the last one shows.
+//! No instance has a fixed role. Each decides by what it has recently received. Two may therefore
+//! follow for a moment, which costs one call, and none may follow until the timeout of the last
+//! follower.
 
 use crate::units::Millis;
 
-/// How long an instance may be silent and still be relied on to follow a table.
+/// How long an instance may send nothing and still be relied on to follow a table.
 ///
-/// A sound one tells something each half second. The shortest time within which a change must be in
-/// force is 2 s: after the silence, one call to the table must fit.
+/// A healthy instance sends something every half second. The shortest time within which a change must
+/// be active is 2 s, and after the timeout one call to the table must still fit into it.
 pub const FOLLOWER_TIMEOUT: Millis = Millis(1_300);
 
-/// How long an instance that did not reach the table is passed over.
+/// How long an instance that could not reach the table is skipped.
 ///
-/// With all of them unable, each is tried again after that, so that the end of an outage is seen.
+/// Each instance tries again after this time even if none could reach the table, so that the end of an
+/// outage is noticed.
 pub const UNREACHABLE_BACKOFF: Millis = Millis(5_000);
 
 /// `Candidate` is an instance that could follow a table for its availability zone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Its rank by a hash that all instances compute alike; the highest goes first.
+    /// Its rank, from a hash that all instances compute alike; the highest goes first.
     pub rank: u64,
-    /// Whether it reached the table when it tried last.
+    /// Whether its last attempt to reach the table succeeded.
     pub is_able: bool,
 }
 
-/// Returns whether `own` is to follow the table, among the others of its availability zone that were
-/// heard of late.
+/// Returns whether `own` should follow the table, given the recently seen other instances of its
+/// availability zone.
 ///
-/// Whoever can't reach the table leaves it to the next one. If nobody can, one goes on trying: hundreds
-/// that ask a table which is away would keep it so.
+/// An instance that cannot reach the table leaves it to the next one. If no instance can, only one goes
+/// on trying: hundreds of instances that query an unreachable table would keep it overloaded.
 ///
 /// ```
 /// use anvilhook_core::watches::{Candidate, is_chosen};
@@ -48,35 +51,35 @@
 /// assert!(!is_chosen(&of(5, false), [of(9, false)].into_iter()));
 /// ```
 pub fn is_chosen(own: &Candidate, others: impl Iterator<Item = Candidate>) -> bool {
-    let place = |candidate: &Candidate| (candidate.is_able, candidate.rank);
-    others.map(|other| place(&other)).max() < Some(place(own))
+    let priority = |candidate: &Candidate| (candidate.is_able, candidate.rank);
+    others.map(|other| priority(&other)).max() < Some(priority(own))
 }
 
-/// `Span` is the part of a table's history that some changed rows cover.
+/// `Span` is the part of a table's history that a set of changed rows covers.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Span {
-    /// The newest change before them.
+    /// The table's version before the changes.
     pub after: u64,
-    /// The table's version that they lead to.
+    /// The table's version after the changes.
     pub to: u64,
 }
 
-/// `Continuity` is how a span fits to what is known.
+/// `Continuity` says how a span fits the known version of a table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Continuity {
-    /// It says nothing new.
+    /// The span contains nothing new.
     Known,
-    /// It continues what is known.
+    /// The span continues the known version.
     Next,
-    /// Changes lie between that were not heard.
+    /// Changes between the known version and the span were not received.
     Gap,
 }
 
 impl Span {
     /// Returns how the span fits for an instance that knows the table up to version `known`.
     ///
-    /// Rows taken in over a gap would hide the changes within it for good: an upstream that left there
-    /// would get work until it is asked and refuses.
+    /// Applying rows across a gap would hide the changes within the gap permanently: an upstream that
+    /// left in one of them would be sent work until it refuses a request.
     ///
     /// ```
     /// use anvilhook_core::watches::{Continuity, Span};
@@ -84,7 +87,7 @@
     /// let span = Span { after: 100, to: 120 };
     /// assert_eq!(span.fits(120), Continuity::Known);
     /// assert_eq!(span.fits(100), Continuity::Next);
-    /// assert_eq!(span.fits(110), Continuity::Next, "a part of it was heard before");
+    /// assert_eq!(span.fits(110), Continuity::Next, "a part of it was received before");
     /// assert_eq!(span.fits(99), Continuity::Gap);
     /// ```
     pub fn fits(&self, known: u64) -> Continuity {
