--- a/crates/anvilhook-core/src/resources/changes.rs
+++ b/crates/anvilhook-core/src/resources/changes.rs
@@ -75,7 +75,8 @@
         Err(Error::would_strand(&self.key, stranded))
     }
 
-    /// Lists the resources whose references hold before the change but not after it.
+    /// Lists the resources whose references hold before the change but not after it, and the pools that
+    /// are left with too few engines.
     fn stranded(&self, base: &Configuration, after: &Configuration) -> Vec<String> {
         let others = after.resources().filter(|resource| resource.key() != self.key);
         let mut stranded = Vec::new();
--- a/crates/anvilhook-core/src/roles/capacities.rs
+++ b/crates/anvilhook-core/src/roles/capacities.rs
@@ -98,13 +98,13 @@
     /// engines. At 1 every engine of that role is busy all the time.
     pub fn utilization(&self, counts: &RoleCounts, seen: &ObservedWork) -> f64 {
         let steps = || (0..=SPLIT_STEPS).map(|step| f64::from(step) / f64::from(SPLIT_STEPS));
-        let mut least = f64::INFINITY;
+        let mut lowest = f64::INFINITY;
         for patient in steps() {
             for tight in steps() {
-                least = least.min(self.utilization_of(counts, seen, patient, tight));
+                lowest = lowest.min(self.utilization_of(counts, seen, patient, tight));
             }
         }
-        least
+        lowest
     }
 
     /// Returns the share, from 0 to 1, of the work that the pool completes in time.
--- a/crates/anvilhook-core/src/roles/meters.rs
+++ b/crates/anvilhook-core/src/roles/meters.rs
@@ -113,7 +113,7 @@
 
 impl WorkMeter {
     /// Counts a request on arrival, whether or not it is admitted, because refused requests show the
-    /// capacity that the pool lacks. `uncached` is the number of prompt tokens that had to be read.
+    /// capacity that the pool is missing. `uncached` is the number of prompt tokens that had to be read.
     pub fn record(&self, work: Work, uncached: Tokens) {
         let flow = if work.tight { &self.tight } else { &self.patient };
         flow.record(work, uncached);
--- a/crates/anvilhook-core/src/routing/lanes.rs
+++ b/crates/anvilhook-core/src/routing/lanes.rs
@@ -107,9 +107,9 @@
             return;
         }
         // Each kind of work keeps at least one engine as soon as there is any of it.
-        let least = if patient > 0.0 { 1.0 } else { 0.0 };
-        let most = engines as f64 - if tight > 0.0 { 1.0 } else { 0.0 };
-        let border = wanted.round().clamp(least, most);
+        let min_border = if patient > 0.0 { 1.0 } else { 0.0 };
+        let max_border = engines as f64 - if tight > 0.0 { 1.0 } else { 0.0 };
+        let border = wanted.round().clamp(min_border, max_border);
         self.border = Some(border);
         lanes.set_patient_share(border / engines as f64);
     }
--- a/crates/anvilhook-core/src/routing/loads.rs
+++ b/crates/anvilhook-core/src/routing/loads.rs
@@ -60,9 +60,8 @@
     pub prefill_share: f64,
 }
 
-/// `Bucket` is one bucket of the record of sent work, a ring buffer. Its sums belong to the time
-/// interval whose number it stores. Two sums share one atomic, so that a choice has fewer atomics to
-/// read.
+/// `Bucket` is one bucket of the record of sent work, which is a ring buffer. Its sums belong to the
+/// time interval whose number it stores. Two sums share one atomic to reduce the reads of a choice.
 #[derive(Debug, Default)]
 struct Bucket {
     interval: AtomicU64,
@@ -270,9 +269,9 @@
         let prefill_ms = read.prompt.max(prefill) / speeds.prefill_tokens_per_ms;
         let prefill_share = (prefill_ms / RECORD_MS).min(1.0);
 
-        // The engine has worked on since the report was made. The share of the then running
-        // requests that has ended is assumed to grow linearly, up to twice the average remaining
-        // time.
+        // The engine has gone on working since the report was made. The share of the requests running
+        // at that time that has ended by now is assumed to grow linearly, until all have ended after
+        // twice the average remaining time.
         let reported_each = if running > 0.0 { running_decode / running } else { 0.0 };
         let gap_ms = step_ms / (1.0 - prefill_share).max(MIN_FREE_SHARE);
         let longest_ms = 2.0 * (reported_each * gap_ms).max(1.0);
--- a/crates/anvilhook-core/src/routing/searches.rs
+++ b/crates/anvilhook-core/src/routing/searches.rs
@@ -155,7 +155,7 @@
             estimate.wait_ms += upstream.open_requests() as f64 * ASSUMED_REQUEST_MS;
         }
         let cost = estimate.cost(options, self.req.deadline - self.now) + extra_ms;
-        if best.as_ref().is_none_or(|(least, _)| cost < *least) {
+        if best.as_ref().is_none_or(|(lowest, _)| cost < *lowest) {
             *best = Some((cost, Candidate { upstream, estimate, uncached }));
         }
     }
--- a/crates/anvilhook-core/src/usage.rs
+++ b/crates/anvilhook-core/src/usage.rs
@@ -10,7 +10,7 @@
 
 use crate::units::{Millis, WallTime};
 
-/// The number of retained windows, including the current one.
+/// The number of windows before the current one that are retained.
 pub const RETAINED_WINDOWS: u64 = 8;
 
 /// The maximum numbers of accounts and instances that are counted in a window. They bound the memory
--- a/crates/anvilhook-core/src/watches.rs
+++ b/crates/anvilhook-core/src/watches.rs
@@ -87,7 +87,7 @@
     /// let span = Span { after: 100, to: 120 };
     /// assert_eq!(span.fits(120), Continuity::Known);
     /// assert_eq!(span.fits(100), Continuity::Next);
-    /// assert_eq!(span.fits(110), Continuity::Next, "a part of it was received before");
+    /// assert_eq!(span.fits(110), Continuity::Next, "a part of it was heard before");
     /// assert_eq!(span.fits(99), Continuity::Gap);
     /// ```
     pub fn fits(&self, known: u64) -> Continuity {
