--- a/crates/anvilhook-gateway/src/entries.rs
+++ b/crates/anvilhook-gateway/src/entries.rs
@@ -54,8 +54,8 @@
 
     /// Notes when the table was last known to be away. Entries have time to be back only until a
     /// while after that.
-    pub fn bound_grace(&mut self, last_away: Millis) {
-        self.grace_until = self.grace_until.min(last_away + LAPSE_BOUND);
+    pub fn bound_grace(&mut self, last_unreachable_at: Millis) {
+        self.grace_until = self.grace_until.min(last_unreachable_at + LAPSE_BOUND);
     }
 
     /// Takes an entry in. Returns whether it changes what counts.
--- a/crates/anvilhook-gateway/src/fleets.rs
+++ b/crates/anvilhook-gateway/src/fleets.rs
@@ -57,7 +57,7 @@
     /// don't, each answer of a sound engine would else be taken for another start's: no order would
     /// be given, and each silent stream be taken for lost.
     pub fn has_other_start(&self, born: Option<u64>) -> bool {
-        self.born.zip(born).is_some_and(|(listed, told)| listed != told)
+        self.born.zip(born).is_some_and(|(listed, reported)| listed != reported)
     }
 
     /// Returns the short form of the id and the start that instances use among themselves. What is
@@ -140,7 +140,7 @@
     }
 
     /// Returns the upstreams that are to be remembered once `next` is listed in this view's place.
-    fn former_beside(&self, next: &FleetView) -> Vec<Arc<Upstream>> {
+    fn former_after(&self, next: &FleetView) -> Vec<Arc<Upstream>> {
         let gone = self.by_id.values().filter(|one| one.state.is_lasting());
         let all = self.former.iter().chain(gone);
         let unlisted = all.filter(|one| !next.by_digest.contains_key(&one.digest));
@@ -193,7 +193,7 @@
             view.by_digest.insert(upstream.digest, Arc::clone(&upstream));
             view.by_id.insert(id, upstream);
         }
-        view.former = earlier.former_beside(&view);
+        view.former = earlier.former_after(&view);
         for upstreams in view.by_service.values_mut() {
             upstreams.sort_by(|a, b| a.entry.id.cmp(&b.entry.id));
         }
--- a/crates/anvilhook-gateway/src/followers/configs.rs
+++ b/crates/anvilhook-gateway/src/followers/configs.rs
@@ -11,7 +11,7 @@
 use crate::wires::Wire;
 
 /// The configuration as a belief, as metrics name it.
-const CONFIG_BELIEF: &str = "config";
+const CONFIG_SOURCE: &str = "config";
 
 /// `ConfigFollower` puts each newer configuration in force.
 pub struct ConfigFollower<W: Wire, C: Clock> {
@@ -35,8 +35,8 @@
         self.change(rows);
     }
 
-    fn heard(&mut self) {
-        self.gateway.record_contact(CONFIG_BELIEF);
+    fn contacted(&mut self) {
+        self.gateway.record_contact(CONFIG_SOURCE);
     }
 
     fn sharers(&self) -> (Arc<Peers>, FollowedTable) {
@@ -52,7 +52,7 @@
                     self.unreadable.forget(key);
                     self.gateway.adopt_config(config);
                 }
-                Err(err) => self.unreadable.tell(self.gateway.metrics(), table, row, &err),
+                Err(err) => self.unreadable.report(self.gateway.metrics(), table, row, &err),
             }
         }
     }
--- a/crates/anvilhook-gateway/src/followers/entries.rs
+++ b/crates/anvilhook-gateway/src/followers/entries.rs
@@ -23,25 +23,25 @@
 pub struct EntryFollower<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     clock: C,
-    book: Arc<std::sync::Mutex<EntryRegistry>>,
+    registry: Arc<std::sync::Mutex<EntryRegistry>>,
     unreadable: UnreadableRows,
 }
 
 impl<W: Wire, C: Clock> EntryFollower<W, C> {
     /// Makes a follower that knows no entries.
     pub fn new(gateway: Gateway<W, C>, clock: C) -> Self {
-        Self { gateway, clock, book: Arc::default(), unreadable: UnreadableRows::default() }
+        Self { gateway, clock, registry: Arc::default(), unreadable: UnreadableRows::default() }
     }
 
-    fn publish(&self, book: &EntryRegistry) {
-        self.gateway.adopt_entries(book.entries().cloned());
+    fn publish(&self, registry: &EntryRegistry) {
+        self.gateway.adopt_entries(registry.entries().cloned());
     }
 
     fn decode(&mut self, row: &Row) -> Option<Entry> {
         let decoded = row.value.as_ref().map(|value| self.gateway.wire().entry(&row.key, value));
         match decoded {
             Some(Err(err)) => {
-                self.unreadable.tell(self.gateway.metrics(), self.table(), row, &err);
+                self.unreadable.report(self.gateway.metrics(), self.table(), row, &err);
                 None
             }
             readable => {
@@ -55,19 +55,19 @@
     /// after the first, the next one is waited for.
     fn expire_later(&self) {
         let (clock, gateway) = (self.clock.clone(), self.gateway.clone());
-        let book = Arc::clone(&self.book);
-        let mut due = self.book.lock().expect("no panic under this lock").next_expiry();
+        let registry = Arc::clone(&self.registry);
+        let mut due = self.registry.lock().expect("no panic under this lock").next_expiry();
         if due.is_none() {
             return;
         }
         tokio::spawn(async move {
             while let Some(next) = due {
                 tokio::time::sleep((next - clock.now() + Millis(1)).as_duration()).await;
-                let mut book = book.lock().expect("no panic under this lock");
-                if book.expire(clock.now()) {
-                    gateway.adopt_entries(book.entries().cloned());
+                let mut registry = registry.lock().expect("no panic under this lock");
+                if registry.expire(clock.now()) {
+                    gateway.adopt_entries(registry.entries().cloned());
                 }
-                due = book.next_expiry();
+                due = registry.next_expiry();
             }
         });
     }
@@ -88,34 +88,34 @@
             }
         }
         self.unreadable.retain(rows);
-        let mut book = self.book.lock().expect("no panic under this lock");
+        let mut registry = self.registry.lock().expect("no panic under this lock");
         // Such a row is not gone: the upstream's own report of the same number brings it back, and no
         // time passes until the row names nobody.
         for key in unreadable {
-            book.discard(key, now);
+            registry.discard(key, now);
         }
-        book.reset(entries, now);
-        self.publish(&book);
-        drop(book);
+        registry.reset(entries, now);
+        self.publish(&registry);
+        drop(registry);
         self.expire_later();
     }
 
     fn change(&mut self, rows: &[Row]) {
         let now = self.clock.now();
-        let book = Arc::clone(&self.book);
-        let mut book = book.lock().expect("no panic under this lock");
+        let registry = Arc::clone(&self.registry);
+        let mut registry = registry.lock().expect("no panic under this lock");
         let mut has_changed = false;
         for row in rows {
             has_changed |= match (&row.value, self.decode(row)) {
-                (None, _) => book.remove(&row.key, now),
-                (Some(_), Some(entry)) => book.put(entry),
-                (Some(_), None) => book.discard(&row.key, now),
+                (None, _) => registry.remove(&row.key, now),
+                (Some(_), Some(entry)) => registry.put(entry),
+                (Some(_), None) => registry.discard(&row.key, now),
             };
         }
         if has_changed {
-            self.publish(&book);
+            self.publish(&registry);
         }
-        drop(book);
+        drop(registry);
         self.expire_later();
     }
 
@@ -123,7 +123,7 @@
         GATHER_TIME
     }
 
-    fn heard(&mut self) {
+    fn contacted(&mut self) {
         self.gateway.record_contact(LIST_SOURCE);
     }
 
@@ -131,10 +131,10 @@
         (Arc::clone(self.gateway.peers()), FollowedTable::Entries)
     }
 
-    fn regained(&mut self, last_away: Millis) {
+    fn regained(&mut self, last_unreachable_at: Millis) {
         let now = self.clock.now();
-        let mut book = self.book.lock().expect("no panic under this lock");
-        book.regained(now);
-        book.bound_grace(last_away);
+        let mut registry = self.registry.lock().expect("no panic under this lock");
+        registry.regained(now);
+        registry.bound_grace(last_unreachable_at);
     }
 }
--- a/crates/anvilhook-gateway/src/followers/following.rs
+++ b/crates/anvilhook-gateway/src/followers/following.rs
@@ -14,17 +14,17 @@
 /// even after its end, and what changed meanwhile would be in force late by the whole of its wait.
 const NO_WAIT: Millis = Millis::ZERO;
 
-/// How long after a peer has told of a change an instance waits to hear of it by its own call, or by
+/// How long after a peer has changes of a change an instance waits to hear of it by its own call, or by
 /// the instance that follows the table for it, which may be gathering changes at that moment.
-const TOLD_PATIENCE: Millis = Millis(400);
+const GAP_WAIT: Millis = Millis(400);
 
-/// How often an instance that has missed a change asks whoever told of it, before it asks the table, and
+/// How often an instance that has missed a change asks whoever changes of it, before it asks the table, and
 /// how long it waits for each answer.
-const MAX_PEER_ASKS: u32 = 3;
-const PEER_PATIENCE: Millis = Millis(150);
+const MAX_PEER_REQUESTS: u32 = 3;
+const PEER_RESPONSE_WAIT: Millis = Millis(150);
 
-/// How often an instance that is told of rows looks whether it is now to follow the table itself.
-const LOOK_EVERY: Millis = Millis(200);
+/// How often an instance that is changes of rows looks whether it is now to follow the table itself.
+const CHECK_INTERVAL: Millis = Millis(200);
 
 /// The pause after a failed call; it grows to the second figure.
 const FIRST_PAUSE: Millis = Millis(50);
@@ -32,7 +32,7 @@
 
 /// How long an instance waits after its first reading until it follows the table itself. By then it has
 /// heard the others, and knows whether one of them does.
-const SETTLING: Millis = Millis(600);
+const SETTLE_TIME: Millis = Millis(600);
 
 /// `Read` is what is new of a table.
 enum Read {
@@ -41,14 +41,14 @@
     /// What has changed, by a call of this instance.
     Changes(Rows),
     /// What has changed, as another instance tells.
-    Told(RowChanges),
+    FromPeer(RowChanges),
 }
 
 /// `Outage` is a time in which the table can't be reached.
 struct Outage {
     began_at: Millis,
     /// When the last call was sent that brought no answer. It says nothing of the time after.
-    last_away: Millis,
+    last_unreachable_at: Millis,
 }
 
 /// `Following` is how far a table has been followed, and how.
@@ -60,10 +60,10 @@
     peers: Arc<Peers>,
     shared: FollowedTable,
     /// Whether the table must be read whole.
-    is_unread: bool,
+    needs_full_read: bool,
     outage: Option<Outage>,
     /// When the table was last away, as the follower knows it.
-    noted_away: Millis,
+    recorded_away: Millis,
     pause: Millis,
     /// When the last call of this instance was sent.
     called_at: Millis,
@@ -81,9 +81,9 @@
             follower,
             peers,
             shared,
-            is_unread: true,
+            needs_full_read: true,
             outage: None,
-            noted_away: Millis::ZERO,
+            recorded_away: Millis::ZERO,
             pause: FIRST_PAUSE,
             called_at: Millis::ZERO,
             was_own: false,
@@ -92,20 +92,20 @@
 
     /// Reads what is new, and takes it in.
     pub async fn step(&mut self) {
-        let read = if self.is_unread {
+        let read = if self.needs_full_read {
             self.called_at = self.clock.now();
             self.table.scan(self.follower.table()).await.map(Read::Whole)
         } else {
             self.next().await
         };
         match read {
-            Ok(read) => self.take(read).await,
+            Ok(read) => self.apply(read).await,
             Err(TableError::HistoryGone) => {
                 let (dependency, version) = (self.follower.table(), self.known());
                 emit(&Event::HistoryGone { dependency, version });
-                self.is_unread = true;
+                self.needs_full_read = true;
             }
-            Err(err) => self.lose(err).await,
+            Err(err) => self.record_loss(err).await,
         }
     }
 
@@ -125,7 +125,7 @@
     async fn next(&mut self) -> Result<Read, TableError> {
         while !self.is_chosen() {
             self.was_own = false;
-            if let Some(read) = self.next_told().await {
+            if let Some(read) = self.next_from_peers().await {
                 return read;
             }
         }
@@ -135,166 +135,166 @@
             tokio::time::sleep((LONGEST_PAUSE - away_for).as_duration()).await;
         }
         // A call that waits would hide for as long that the connection to the table is broken.
-        let is_sound = self.was_own && self.outage.is_none();
+        let is_connection_healthy = self.was_own && self.outage.is_none();
         self.was_own = true;
-        if is_sound { self.next_change().await } else { self.ask_table().await }
+        if is_connection_healthy { self.next_change().await } else { self.query_table().await }
     }
 
     /// Asks the table what has changed until now.
-    async fn ask_table(&mut self) -> Result<Read, TableError> {
+    async fn query_table(&mut self) -> Result<Read, TableError> {
         self.called_at = self.clock.now();
-        let told = self.watch().version().announced();
+        let announced = self.watch().version().announced();
         let rows = self.table.changes(self.follower.table(), self.known(), NO_WAIT).await?;
-        // What lies behind the rows that came is still to be asked for, but not what nobody can read.
-        let asked = if rows.rows.is_empty() { told } else { told.min(rows.version) };
-        self.watch().version().record_queried(asked);
+        // What lies behind the rows that came is still to be queried for, but not what nobody can read.
+        let queried = if rows.rows.is_empty() { announced } else { announced.min(rows.version) };
+        self.watch().version().record_queried(queried);
         Ok(Read::Changes(rows))
     }
 
     /// Waits for what another instance tells; `None` if nothing has come for a while, and this one is to
     /// follow the table itself. Whoever learns that it has missed something asks for it, first whoever
-    /// told of it and then the table.
-    async fn next_told(&mut self) -> Option<Result<Read, TableError>> {
+    /// changes of it and then the table.
+    async fn next_from_peers(&mut self) -> Option<Result<Read, TableError>> {
         let known = self.known();
         let watch = self.watch();
         let missed = async {
             watch.version().wait_for_newer(known).await;
-            tokio::time::sleep(TOLD_PATIENCE.as_duration()).await;
-            for _ in 0..MAX_PEER_ASKS {
+            tokio::time::sleep(GAP_WAIT.as_duration()).await;
+            for _ in 0..MAX_PEER_REQUESTS {
                 watch.request_resync();
                 self.peers.announce();
-                tokio::time::sleep(PEER_PATIENCE.as_duration()).await;
+                tokio::time::sleep(PEER_RESPONSE_WAIT.as_duration()).await;
             }
         };
         let chosen = async {
             while !self.is_chosen() {
-                tokio::time::sleep(LOOK_EVERY.as_duration()).await;
+                tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
             }
         };
         tokio::select! {
-            rows = watch.next_rows(known) => return Some(Ok(Read::Told(rows))),
+            rows = watch.next_rows(known) => return Some(Ok(Read::FromPeer(rows))),
             () = missed => {}
             () = chosen => return None,
         }
-        Some(self.ask_table().await)
+        Some(self.query_table().await)
     }
 
     /// Waits for changes by a call of this instance. The wait is broken off if a peer knows of a change
     /// of which the call brings no word: its connection may have gone silent, and the table is then
-    /// asked over another one.
+    /// queried over another one.
     async fn next_change(&mut self) -> Result<Read, TableError> {
         self.called_at = self.clock.now();
         let known = self.known();
         let version = self.watch().version();
-        let told = async {
+        let missed = async {
             version.wait_for_newer(known).await;
-            tokio::time::sleep(TOLD_PATIENCE.as_duration()).await;
+            tokio::time::sleep(GAP_WAIT.as_duration()).await;
         };
         tokio::select! {
             rows = self.table.changes(self.follower.table(), known, self.wait) => {
                 rows.map(Read::Changes)
             }
-            () = told => Err(TableError::NoAnswer("peers know of a change".to_owned())),
+            () = missed => Err(TableError::NoAnswer("peers know of a change".to_owned())),
         }
     }
 
     /// Takes in what was read, and tells the others of it if it was read by a call.
-    async fn take(&mut self, read: Read) {
-        let is_own = !matches!(read, Read::Told(_));
+    async fn apply(&mut self, read: Read) {
+        let is_own = !matches!(read, Read::FromPeer(_));
         let is_first = self.known() == 0;
-        self.note_reached(is_own);
+        self.record_reached(is_own);
         self.pause = FIRST_PAUSE;
-        self.follower.heard();
+        self.follower.contacted();
         let has_changes = match read {
-            Read::Whole(rows) => self.take_whole(rows),
+            Read::Whole(rows) => self.apply_all(rows),
             Read::Changes(rows) => {
-                let told = self.watch().mirror().following(rows);
-                self.tell(&told);
-                self.take_changes(told, "call")
+                let changes = self.watch().mirror().following(rows);
+                self.publish(&changes);
+                self.apply_changes(changes, "call")
             }
-            Read::Told(told) => self.take_changes(told, "told"),
+            Read::FromPeer(changes) => self.apply_changes(changes, "told"),
         };
         if is_first {
-            tokio::time::sleep(SETTLING.as_duration()).await;
+            tokio::time::sleep(SETTLE_TIME.as_duration()).await;
         } else if is_own && has_changes {
             tokio::time::sleep(self.follower.gather_time().as_duration()).await;
         }
     }
 
     /// Notes that the table, or whoever follows it, is reached, and when it was not.
-    fn note_reached(&mut self, is_own: bool) {
+    fn record_reached(&mut self, is_own: bool) {
         if let Some(outage) = self.outage.take() {
             let away_ms = (self.clock.now() - outage.began_at).0;
             emit(&Event::DependencyRegained { dependency: self.follower.table(), away_ms });
-            self.follower.regained(outage.last_away);
-            self.noted_away = outage.last_away;
+            self.follower.regained(outage.last_unreachable_at);
+            self.recorded_away = outage.last_unreachable_at;
         }
         if is_own {
             self.watch().record_success();
         }
-        // Whoever is told of rows has not met the outage itself, and gives entries that lapsed in it
+        // Whoever is changes of rows has not met the outage itself, and gives entries that lapsed in it
         // as much time to be back.
         let away_at = self.watch().away_at();
-        if away_at > self.noted_away && !self.peers.is_full_mesh() {
+        if away_at > self.recorded_away && !self.peers.is_full_mesh() {
             self.follower.regained(away_at);
-            self.noted_away = away_at;
+            self.recorded_away = away_at;
         }
     }
 
-    fn take_whole(&mut self, rows: Rows) -> bool {
+    fn apply_all(&mut self, rows: Rows) -> bool {
         let known = self.known();
         let span = Span { after: known, to: rows.version };
-        self.note_taken("whole", span, rows.rows.len());
+        self.record_rows_applied("whole", span, rows.rows.len());
         let changes = self.watch().mirror().reset(&rows);
         if let Some(changes) = changes {
-            self.tell(&changes);
+            self.publish(&changes);
         }
         self.follower.reset(&rows.rows);
         let newest = rows.rows.iter().map(|row| row.version).max();
         self.watch().version().record_own(newest.unwrap_or_default());
-        self.is_unread = false;
+        self.needs_full_read = false;
         self.was_own = true;
         newest.is_some()
     }
 
-    fn take_changes(&mut self, told: RowChanges, source: &'static str) -> bool {
-        self.watch().mirror().apply(&told);
-        if told.rows.is_empty() {
+    fn apply_changes(&mut self, changes: RowChanges, source: &'static str) -> bool {
+        self.watch().mirror().apply(&changes);
+        if changes.rows.is_empty() {
             return false;
         }
-        self.note_taken(source, told.span, told.rows.len());
-        self.follower.change(&told.rows);
-        self.watch().version().record_own(told.newest());
+        self.record_rows_applied(source, changes.span, changes.rows.len());
+        self.follower.change(&changes.rows);
+        self.watch().version().record_own(changes.newest());
         true
     }
 
-    fn note_taken(&self, source: &'static str, span: Span, rows: usize) {
+    fn record_rows_applied(&self, source: &'static str, span: Span, rows: usize) {
         let (dependency, Span { after, to }) = (self.follower.table(), span);
         emit(&Event::RowsTaken { dependency, source, after, to, rows });
     }
 
     /// Tells the other instances of the availability zone of rows that a call has brought.
-    fn tell(&self, told: &RowChanges) {
-        if !told.rows.is_empty() && !self.peers.is_full_mesh() && self.is_chosen() {
-            self.watch().queue_rows(told.clone());
+    fn publish(&self, changes: &RowChanges) {
+        if !changes.rows.is_empty() && !self.peers.is_full_mesh() && self.is_chosen() {
+            self.watch().queue_rows(changes.clone());
             self.peers.announce();
         }
     }
 
-    async fn lose(&mut self, err: TableError) {
+    async fn record_loss(&mut self, err: TableError) {
         let (now, away_at) = (self.clock.now(), self.called_at);
         if self.outage.is_none() {
             let cause = err.to_string();
             emit(&Event::DependencyLost { dependency: self.follower.table(), cause });
         }
         let began_at = self.outage.as_ref().map_or(now, |outage| outage.began_at);
-        self.outage = Some(Outage { began_at, last_away: away_at });
+        self.outage = Some(Outage { began_at, last_unreachable_at: away_at });
         self.watch().record_failure(away_at, now);
         // Another instance of the availability zone may reach the table.
         self.peers.announce();
         // The changes of an outage may be many times as large as what stands there now.
         if err == TableError::Unfinished {
-            self.is_unread = true;
+            self.needs_full_read = true;
         }
         tokio::time::sleep(self.pause.as_duration()).await;
         self.pause = Millis(self.pause.0 * 2).min(LONGEST_PAUSE);
--- a/crates/anvilhook-gateway/src/followers/mod.rs
+++ b/crates/anvilhook-gateway/src/followers/mod.rs
@@ -21,7 +21,7 @@
 
 /// What passes beside a call's wait until a change is seen that a connection hid which has gone
 /// silent: the store's time for an answer, the gathering of changes, the next call, and a margin.
-const BESIDE_WAIT: Millis = Millis(1_200);
+const DETECTION_OVERHEAD: Millis = Millis(1_200);
 
 /// The shortest and the longest wait of a call. A store need not hold a call for longer.
 const SHORTEST_WAIT: Millis = Millis(500);
@@ -38,7 +38,7 @@
 /// assert!(wait_within(Millis(100)) > Millis::ZERO);
 /// ```
 pub fn wait_within(unseen: Millis) -> Millis {
-    Millis(unseen.0.saturating_sub(BESIDE_WAIT.0)).clamp(SHORTEST_WAIT, LONGEST_WAIT)
+    Millis(unseen.0.saturating_sub(DETECTION_OVERHEAD.0)).clamp(SHORTEST_WAIT, LONGEST_WAIT)
 }
 
 /// `Follow` takes in what stands in a table and what changes there.
@@ -53,7 +53,7 @@
     fn change(&mut self, rows: &[Row]);
 
     /// Notes that the table has answered.
-    fn heard(&mut self) {}
+    fn contacted(&mut self) {}
 
     /// Returns the instances that follow the table too, and which it is for them.
     fn sharers(&self) -> (Arc<Peers>, FollowedTable);
@@ -63,7 +63,7 @@
         Millis::ZERO
     }
 
-    /// Notes that the table is reached again, and that it was not at `last_away`.
+    /// Notes that the table is reached again, and that it was not at `last_unreachable_at`.
     fn regained(&mut self, _last_away: Millis) {}
 }
 
--- a/crates/anvilhook-gateway/src/instances.rs
+++ b/crates/anvilhook-gateway/src/instances.rs
@@ -44,11 +44,11 @@
 /// What is left of the time for a stop when the process ends in any case.
 const STOP_MARGIN: Millis = Millis(900);
 
-/// The pause between two looks at what is in flight.
-const LOOK_PAUSE: Millis = Millis(20);
+/// The pause between two checks at what is in flight.
+const CHECK_INTERVAL: Millis = Millis(20);
 
 /// How often the settings are looked at for a change that no signal told.
-const RELOAD_EVERY: Millis = Millis(1_000);
+const RELOAD_INTERVAL: Millis = Millis(1_000);
 
 /// The time for the last bytes of answers.
 const FLUSH_TIME: Millis = Millis(300);
@@ -135,7 +135,7 @@
 
     let tunables = options.tunables.clone();
     let mut reloader = Reloader::new(source, gateway.clone(), options.peer, tunables);
-    let mut looks = tokio::time::interval(RELOAD_EVERY.as_duration());
+    let mut checks = tokio::time::interval(RELOAD_INTERVAL.as_duration());
     loop {
         tokio::select! {
             _ = terminate.recv() => break,
@@ -143,7 +143,7 @@
                 signalled("SIGHUP", gateway.in_flight());
                 reloader.check(true);
             }
-            _ = looks.tick() => reloader.check(false),
+            _ = checks.tick() => reloader.check(false),
         }
     }
     let signalled_at = clock.now();
@@ -182,14 +182,14 @@
     tokio::spawn(peers::seed_caches(gateway.clone(), clock.clone()));
     let name = options.name.to_string();
     tokio::spawn(peers::register(table.clone(), name.clone(), options.peer, peers));
-    let keeper = RoleController::new(
+    let controller = RoleController::new(
         gateway.clone(),
         table.clone(),
         clock.clone(),
         name,
         options.roles.clone(),
     );
-    tokio::spawn(keeper.run());
+    tokio::spawn(controller.run());
     Ok(())
 }
 
@@ -210,11 +210,11 @@
     let course = Stop { noticed_at, ends_at: latest };
     // With too few others, connections keep coming. What is taken too late would be cut by the
     // process's end, so the last part of the time only finishes what has begun.
-    let last_taken_at = latest - FINISH_TIME;
+    let accept_until = latest - FINISH_TIME;
     gateway.begin_stop(course);
-    quiet(gateway, clock, noticed_at, last_taken_at).await;
+    quiet(gateway, clock, noticed_at, accept_until).await;
     shutdown.advance(Phase::Closed);
-    quiet(gateway, clock, Millis::ZERO, last_taken_at).await;
+    quiet(gateway, clock, Millis::ZERO, accept_until).await;
     gateway.refuse_new();
     quiet(gateway, clock, Millis::ZERO, latest).await;
     gateway.end();
@@ -239,7 +239,7 @@
         if now >= latest || (now >= earliest && quiet >= QUIET_TIME) {
             return;
         }
-        tokio::time::sleep(LOOK_PAUSE.as_duration()).await;
+        tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
     }
 }
 
--- a/crates/anvilhook-gateway/src/peers/digests.rs
+++ b/crates/anvilhook-gateway/src/peers/digests.rs
@@ -1,4 +1,4 @@
-//! Digests: what one instance tells another, and what is taken in of it.
+//! Digests: the datagrams that instances exchange, and how received ones are applied.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::members::Peers;
-use super::notices::{Notice, own_findings, take_in_notices};
+use super::notices::{Notice, apply_notices, own_findings};
 use super::rows::RowsPiece;
-use super::suspects::{MAX_SUSPECTS, take_in_suspects};
-use super::usages::take_in_usage;
+use super::suspects::{MAX_SUSPECTS, apply_suspects};
+use super::usages::apply_usage;
 use super::versions::FollowedTable;
 use super::watches::WatchState;
 use crate::hashes::hash_of;
@@ -22,16 +22,16 @@
 use crate::usage::UsageUpdate;
 use crate::wires::Wire;
 
-/// `EngineLoad` is what an instance has in flight at an engine.
+/// `EngineLoad` is the work that an instance has in flight at an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineLoad {
-    /// The short form of the engine's id.
+    /// The hash of the engine's id and start.
     pub engine: u32,
-    /// Requests in flight.
+    /// The number of requests in flight.
     pub in_flight: u32,
-    /// Prompts being read, in milliseconds of work.
+    /// The prompts being read (prefill), in milliseconds of work.
     pub reading_ms: u32,
-    /// KV caches being fetched, in milliseconds of the engine's link.
+    /// The KV caches being fetched, in milliseconds of the engine's link.
     pub fetching_ms: u32,
 }
 
@@ -46,7 +46,7 @@
         Self { engine, in_flight: work.in_flight, reading_ms, fetching_ms }
     }
 
-    /// Adds what others have in flight there.
+    /// Adds the load of other instances at the same engine.
     pub(super) fn add(&mut self, other: &EngineLoad) {
         self.in_flight = self.in_flight.saturating_add(other.in_flight);
         self.reading_ms = self.reading_ms.saturating_add(other.reading_ms);
@@ -54,25 +54,25 @@
     }
 }
 
-/// `ServiceWork` is the work that a service's engines did for an instance since it started.
+/// `ServiceWork` is the work that a service's engines have done for an instance since it started.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ServiceWork {
-    /// The short form of the service's name.
+    /// The hash of the service's name.
     pub service: u32,
-    /// Reading, in milliseconds of an engine.
+    /// Prompt reading, in milliseconds of engine time.
     pub reading_ms: u32,
-    /// Generating, in milliseconds of an engine.
+    /// Token generation, in milliseconds of engine time.
     pub generating_ms: u32,
 }
 
-/// `CachedPrompt` is a prompt that an engine now keeps.
+/// `CachedPrompt` is a prompt that an engine now has in its cache.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct CachedPrompt {
-    /// The short form of the engine's id.
+    /// The hash of the engine's id and start.
     pub engine: u32,
-    /// The prompt's parts that others may share, with their lengths in tokens.
+    /// The parts that other prompts may share, with their lengths in tokens.
     pub parts: Vec<(u64, u32)>,
-    /// How many tokens it has beside.
+    /// The number of tokens in addition to these parts.
     pub own_tokens: u32,
 }
 
@@ -87,55 +87,56 @@
     }
 }
 
-/// `Scope` is whose loads a digest tells.
+/// `Scope` states whose loads a digest carries.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub enum Scope {
-    /// The sender's.
+    /// The loads of the sender alone.
     #[default]
     Instance,
-    /// Those of the sender's whole availability zone. The sender may not be who passes it on, and names
-    /// its address.
+    /// The loads of the sender's whole availability zone. The digest may be forwarded by another
+    /// instance, so it carries the address of its original sender.
     Zone(SocketAddr),
-    /// Those of all other availability zones, told within one.
+    /// The loads of all other availability zones, sent within one zone.
     Far,
 }
 
-/// `Digest` is what one instance tells another.
+/// `Digest` is a datagram from one instance to another.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
-    /// The sender's process, a number of its own choice.
+    /// The random number that identifies the sender's process.
     pub from: u64,
-    /// The engines at which it has something in flight.
+    /// The loads of engines at which the sender has work in flight.
     pub loads: Vec<EngineLoad>,
-    /// Whether these are only those of which the load has changed since the digest before.
+    /// Whether `loads` holds only the loads that have changed since the previous digest.
     pub is_delta: bool,
-    /// What engines have read since the last digest.
+    /// The prompts that engines have read since the previous digest.
     pub cached: Vec<CachedPrompt>,
-    /// Whether it tells nothing of loads, but only of caches, rows, what is asked for, or who the sender
-    /// is. Taken for a whole one, it would clear the loads that the sender told before.
+    /// Whether the digest carries no loads, but only caches, rows, a request for rows or the
+    /// sender's identity. Handled as a whole digest, it would clear the loads that the sender
+    /// published before.
     pub is_partial: bool,
-    /// Whose loads it tells.
+    /// The instances whose loads the digest carries.
     pub scope: Scope,
-    /// What the sender itself has found out of engines.
+    /// The sender's own findings about engines.
     pub notices: Vec<Notice>,
-    /// What has become of requests under which engines may end.
+    /// Updates on requests that may cause engines to terminate.
     pub suspects: Vec<SuspectUpdate>,
-    /// The work that engines did for the sender since it started, by service.
+    /// The work that engines have done for the sender since it started, by service.
     pub work: Vec<ServiceWork>,
-    /// The short form of the sender's availability zone.
+    /// The hash of the sender's availability zone.
     pub zone: u32,
-    /// The sender's watch over each of [`FollowedTable::ALL`].
+    /// The state of the sender's watch over each of [`FollowedTable::ALL`].
     pub watches: [WatchState; FollowedTable::ALL.len()],
-    /// A part of changed rows of such a table.
+    /// A piece of changed rows of a followed table.
     pub rows: Option<RowsPiece>,
     /// The usage of client accounts.
     pub usage: Option<UsageUpdate>,
-    /// A table of which the sender asks for what has changed since a version.
+    /// A table, and the version after which the sender requests its changes.
     pub asks: Option<(FollowedTable, u64)>,
 }
 
 impl Digest {
-    /// Makes a digest that tells only who sends it.
+    /// Creates a digest that carries only the sender's identity and watches.
     pub(super) fn from(peers: &Peers, now: Millis) -> Self {
         Self {
             from: peers.number(),
@@ -145,20 +146,20 @@
         }
     }
 
-    /// Makes one that tells nothing of loads.
+    /// Creates a digest without loads.
     pub(super) fn partial(peers: &Peers, now: Millis) -> Self {
         Self { is_partial: true, ..Self::from(peers, now) }
     }
 }
 
-/// Makes the digest of what this instance has in flight, and of what the peers don't know yet.
+/// Creates the digest of this instance's work in flight and of the updates not yet published.
 pub(super) fn digest<W: Wire, C: Clock>(gateway: &Gateway<W, C>, now: Millis) -> Digest {
     const MAX_CACHED: usize = 24;
     let view = gateway.fleet().view();
     let mut digest = Digest::from(gateway.peers(), now);
     for upstream in view.all() {
         let (engine, work) = (upstream.digest, upstream.state.own_work());
-        // What a plain upstream has in flight elsewhere, its own answers tell.
+        // A plain upstream reports in its own answers what it has in flight for other instances.
         if work.in_flight > 0 && upstream.entry.role.is_some() {
             digest.loads.push(EngineLoad::of(engine, &work));
         }
@@ -166,12 +167,12 @@
         digest.notices.extend(findings.map(|kind| Notice { engine, kind }));
     }
     digest.suspects = gateway.suspects().take_due(MAX_SUSPECTS, now);
-    let told = |(service, work): (Arc<str>, EngineWork)| ServiceWork {
+    let to_service_work = |(service, work): (Arc<str>, EngineWork)| ServiceWork {
         service: hash_of(&*service) as u32,
         reading_ms: work.reading_ms as u32,
         generating_ms: work.generating_ms as u32,
     };
-    digest.work = gateway.speeds().own_work().into_iter().map(told).collect();
+    digest.work = gateway.speeds().own_work().into_iter().map(to_service_work).collect();
     for (engine, parts) in gateway.take_cached(MAX_CACHED) {
         let Some(upstream) = view.get(&engine) else { continue };
         digest.cached.push(CachedPrompt::of(upstream.digest, &parts));
@@ -179,8 +180,8 @@
     digest
 }
 
-/// Returns what all instances of the own availability zone have in flight, by what is believed. Of more
-/// engines than fit into a digest those with the most work are told of.
+/// Returns the estimated loads of all instances of this availability zone. If they don't fit into a
+/// digest, the engines with the most work are included.
 pub(super) fn near_loads<W: Wire, C: Clock>(
     gateway: &Gateway<W, C>,
     now: Millis,
@@ -195,42 +196,42 @@
     loads
 }
 
-/// The number under which the loads of all other availability zones are noted.
+/// The number under which the loads of all other availability zones are recorded.
 const FAR_NUMBER: u64 = u64::MAX;
 
-/// Takes in what a peer tells.
-pub(super) fn take_in<W: Wire, C: Clock>(
+/// Applies a digest from a peer.
+pub(super) fn apply<W: Wire, C: Clock>(
     digest: &Digest,
     from: SocketAddr,
     gateway: &Gateway<W, C>,
     now: Millis,
 ) {
-    gateway.peers().take_in_watches(digest, from, now);
+    gateway.peers().apply_watches(digest, from, now);
     if !digest.is_partial {
-        take_in_loads(digest, from, gateway, now);
+        apply_loads(digest, from, gateway, now);
     }
-    take_in_notices(digest, gateway, now);
-    take_in_suspects(digest, gateway, now);
-    take_in_work(digest, gateway, now);
-    take_in_usage(digest, gateway, now);
-    take_in_cached(digest, gateway);
+    apply_notices(digest, gateway, now);
+    apply_suspects(digest, gateway, now);
+    apply_work(digest, gateway, now);
+    apply_usage(digest, gateway, now);
+    apply_cached(digest, gateway);
 }
 
-fn take_in_work<W: Wire, C: Clock>(digest: &Digest, gateway: &Gateway<W, C>, now: Millis) {
+fn apply_work<W: Wire, C: Clock>(digest: &Digest, gateway: &Gateway<W, C>, now: Millis) {
     let Some(config) = gateway.config() else { return };
-    for told in &digest.work {
+    for work in &digest.work {
         let mut services = config.services();
-        let known = services.find(|service| hash_of(&*service.name) as u32 == told.service);
+        let known = services.find(|service| hash_of(&*service.name) as u32 == work.service);
         let Some(service) = known else { continue };
         let work = EngineWork {
-            reading_ms: f64::from(told.reading_ms),
-            generating_ms: f64::from(told.generating_ms),
+            reading_ms: f64::from(work.reading_ms),
+            generating_ms: f64::from(work.generating_ms),
         };
         gateway.speeds().merge_work(&service.name, digest.from, work, now);
     }
 }
 
-fn take_in_loads<W: Wire, C: Clock>(
+fn apply_loads<W: Wire, C: Clock>(
     digest: &Digest,
     from: SocketAddr,
     gateway: &Gateway<W, C>,
@@ -244,7 +245,7 @@
         gateway.peers().add_busy(from, busy);
     } else {
         let before = gateway.peers().replace_busy(from, is_far, busy);
-        // Only the engines that are named, or were, change; there may be hundreds of others.
+        // Only the engines in this or the previous digest change; there may be hundreds of others.
         let is_named = |engine| digest.loads.iter().any(|load| load.engine == engine);
         let ended = before.into_iter().filter(|engine| !is_named(*engine));
         for upstream in ended.filter_map(|engine| view.by_digest(engine)) {
@@ -262,7 +263,7 @@
     }
 }
 
-fn take_in_cached<W: Wire, C: Clock>(digest: &Digest, gateway: &Gateway<W, C>) {
+fn apply_cached<W: Wire, C: Clock>(digest: &Digest, gateway: &Gateway<W, C>) {
     let view = gateway.fleet().view();
     let config = gateway.config();
     for cached in &digest.cached {
--- a/crates/anvilhook-gateway/src/peers/members.rs
+++ b/crates/anvilhook-gateway/src/peers/members.rs
@@ -1,4 +1,4 @@
-//! The other instances: which run, and how they find each other.
+//! The known instances: which of them run, and which of them acts for the others.
 
 use std::collections::{HashMap, HashSet};
 use std::net::SocketAddr;
@@ -15,65 +15,65 @@
 use super::watches::TableWatch;
 use crate::hashes::hash_of;
 
-/// The most peers that every digest goes to.
-const FEW_PEERS: usize = 12;
+/// The maximum number of known peers up to which every digest goes to every peer.
+const MAX_FULL_MESH_PEERS: usize = 12;
 
-/// How long a peer that is not heard counts as running.
+/// How long a peer that sends nothing counts as running.
 const PEER_AGE: Millis = Millis(2_000);
 
-/// How many instances there are believed to be, at least, until the table has been read. The budget
-/// for extra arrivals is divided among them, so a guess too low would break its bound.
+/// The minimum number of instances that is assumed until the table has been read. The budget for
+/// extra arrivals is divided among them, so too low a guess would exceed its bound.
 const UNLISTED_INSTANCES: usize = 24;
 
-/// `Peer` is another instance.
+/// `Peer` is another instance from which a digest was received.
 #[derive(Clone, Debug)]
 struct Peer {
     number: u64,
-    heard_at: Millis,
-    /// Whether it reached each followed table when it tried last.
+    last_seen_at: Millis,
+    /// Whether it reached each followed table at its last attempt.
     is_able: [bool; FollowedTable::ALL.len()],
-    /// The engines at which it told of work the last time.
+    /// The engines at which its last digest reported work.
     busy: Vec<u32>,
 }
 
 /// `Known` is an address at which an instance runs or has run.
 #[derive(Clone, Debug, Default)]
 struct Known {
-    /// The short form of its availability zone, as far as it is known.
+    /// The hash of its availability zone, if known.
     zone: Option<u32>,
-    /// The instance, if it was heard.
+    /// The instance, once a digest was received from it.
     peer: Option<Peer>,
 }
 
 impl Known {
-    /// Returns whether it should be told of news: whoever was heard once and fell silent is gone, and a
-    /// restart is heard by itself.
+    /// Returns whether to send digests there. An instance that has stopped sending has terminated,
+    /// and a restarted one announces itself.
     fn may_run(&self, now: Millis) -> bool {
-        self.peer.as_ref().is_none_or(|peer| peer.heard_at + PEER_AGE * 5 > now)
+        self.peer.as_ref().is_none_or(|peer| peer.last_seen_at + PEER_AGE * 5 > now)
     }
 }
 
-/// `Peers` is the other instances that are known.
+/// `Peers` tracks the other known instances.
 #[derive(Debug, Default)]
 pub struct Peers {
-    /// This instance's own number and the short form of its availability zone.
+    /// The number of this instance and the hash of its availability zone.
     number: AtomicU64,
     zone: u32,
     known: Mutex<HashMap<SocketAddr, Known>>,
-    /// When the instance that tells for another availability zone was heard last, by zone.
+    /// When a digest of the leader of another availability zone was last received, by zone.
     zones: Mutex<HashMap<u32, Millis>>,
-    /// The engines of which the other zones told last.
+    /// The engines at which the other zones last reported work.
     far_busy: Mutex<Vec<u32>>,
     is_new: AtomicBool,
-    has_taken_place: AtomicBool,
-    was_told: AtomicBool,
+    has_taken_slot: AtomicBool,
+    has_cache_seed: AtomicBool,
     was_listed: AtomicBool,
     watches: [TableWatch; FollowedTable::ALL.len()],
-    news: Notify,
+    changed: Notify,
 }
 
 impl Peers {
-    /// Makes the others of an instance in an availability zone, of whom none is known.
+    /// Creates the peers of an instance in an availability zone; none is known yet.
     pub fn in_zone(zone: &str) -> Self {
         Self { zone: hash_of(zone) as u32, ..Self::default() }
     }
@@ -88,17 +88,17 @@
         self.number.load(Ordering::Acquire)
     }
 
-    /// Returns the short form of this instance's availability zone.
+    /// Returns the hash of this instance's availability zone.
     pub(crate) fn zone(&self) -> u32 {
         self.zone
     }
 
-    /// Notes that a peer has told what the caches hold.
-    pub(super) fn record_told(&self) {
-        self.was_told.store(true, Ordering::Release);
+    /// Records that a peer has sent the contents of the caches.
+    pub(super) fn record_cache_seed(&self) {
+        self.has_cache_seed.store(true, Ordering::Release);
     }
 
-    /// Returns how far a table has been followed.
+    /// Returns the version up to which a table has been followed.
     pub fn version_of(&self, table: FollowedTable) -> &TableVersion {
         self.watch_of(table).version()
     }
@@ -108,49 +108,50 @@
         &self.watches[table as usize]
     }
 
-    /// Takes in what the instance at an address tells of its watches over the tables.
-    pub(super) fn take_in_watches(&self, digest: &Digest, from: SocketAddr, now: Millis) {
+    /// Applies the watch states of the instance at an address.
+    pub(super) fn apply_watches(&self, digest: &Digest, from: SocketAddr, now: Millis) {
         for (table, told) in FollowedTable::ALL.into_iter().zip(&digest.watches) {
             self.watch_of(table).merge(from, told, now);
         }
     }
 
-    /// Returns whether this instance is to follow a table by calls of its own. Among few each does, since
-    /// their calls cost little; among many one in each availability zone.
+    /// Returns whether this instance should follow a table by its own calls. In a full mesh every
+    /// instance does, since their calls cost little; in zoned mode one instance of each
+    /// availability zone does.
     pub fn follows(&self, table: FollowedTable, now: Millis) -> bool {
         let known = self.known.lock().expect("no panic under this lock");
-        if known.len() <= FEW_PEERS {
+        if known.len() <= MAX_FULL_MESH_PEERS {
             return true;
         }
         let is_able = !self.watch_of(table).is_unable(now);
         let own = Candidate { rank: rank_in(self.number(), table), is_able };
-        let others = self.zone_peers_heard(&known, now).map(|(_, peer)| Candidate {
+        let others = self.live_zone_peers(&known, now).map(|(_, peer)| Candidate {
             rank: rank_in(peer.number, table),
             is_able: peer.is_able[table as usize],
         });
         is_chosen(&own, others)
     }
 
-    /// Returns the address of the instance that tells other availability zones of this one, and this one
-    /// of them; `None` if it is this instance.
-    pub(super) fn zone_teller(&self, now: Millis) -> Option<SocketAddr> {
+    /// Returns the address of this zone's leader, which exchanges updates with other availability
+    /// zones; `None` if it is this instance.
+    pub(super) fn zone_leader(&self, now: Millis) -> Option<SocketAddr> {
         let known = self.known.lock().expect("no panic under this lock");
-        self.teller_among(self.zone_peers_heard(&known, now))
+        self.leader_among(self.live_zone_peers(&known, now))
     }
 
-    /// Returns the address of the one of `zone_peers` that tells for the availability zone; `None` if this
-    /// instance ranks before all of them.
-    fn teller_among<'k>(
+    /// Returns the address of the leader among `zone_peers`; `None` if this instance ranks above
+    /// all of them.
+    fn leader_among<'k>(
         &self,
         zone_peers: impl Iterator<Item = (SocketAddr, &'k Peer)>,
     ) -> Option<SocketAddr> {
-        let best = zone_peers.map(|(address, peer)| (teller_rank(peer.number), address)).max();
-        let best = best.filter(|(best, _)| *best > teller_rank(self.number()));
+        let best = zone_peers.map(|(address, peer)| (leader_rank(peer.number), address)).max();
+        let best = best.filter(|(best, _)| *best > leader_rank(self.number()));
         best.map(|(_, address)| address)
     }
 
-    /// Returns the other instances of the own availability zone that were heard of late.
-    fn zone_peers_heard<'k>(
+    /// Returns the other instances of this availability zone that were recently seen.
+    fn live_zone_peers<'k>(
         &'k self,
         known: &'k HashMap<SocketAddr, Known>,
         now: Millis,
@@ -158,15 +159,15 @@
         let zone_peers = known.iter().filter(|(_, known)| known.zone == Some(self.zone));
         let heard =
             zone_peers.filter_map(|(address, known)| Some((*address, known.peer.as_ref()?)));
-        heard.filter(move |(_, peer)| peer.heard_at + FOLLOWER_TIMEOUT > now)
+        heard.filter(move |(_, peer)| peer.last_seen_at + FOLLOWER_TIMEOUT > now)
     }
 
-    /// Notes that the instance was heard which tells for another availability zone.
-    pub(super) fn hear_zone(&self, zone: u32, now: Millis) {
+    /// Records that a digest of another availability zone's leader was received.
+    pub(super) fn record_zone_leader(&self, zone: u32, now: Millis) {
         self.zones.lock().expect("no panic under this lock").insert(zone, now);
     }
 
-    /// Returns the other availability zones in which instances are known.
+    /// Returns the other availability zones that have known instances.
     pub(super) fn far_zones(&self) -> Vec<u32> {
         let known = self.known.lock().expect("no panic under this lock");
         let zones = known.values().filter_map(|known| known.zone);
@@ -174,15 +175,15 @@
         zones.into_iter().collect()
     }
 
-    /// Returns the addresses of the instances that are known in an availability zone.
+    /// Returns the addresses of the known instances of an availability zone.
     pub(super) fn instances_of(&self, zone: u32) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no panic under this lock");
         let of_zone = known.iter().filter(|(_, known)| known.zone == Some(zone));
         of_zone.map(|(address, _)| *address).collect()
     }
 
-    /// Returns the addresses of the instances in other availability zones, once after this one was
-    /// listed. They don't hear of it otherwise.
+    /// Returns, once after this instance was listed, the addresses of the instances in other
+    /// availability zones. They don't learn of it otherwise.
     pub(super) fn take_introductions(&self) -> Vec<SocketAddr> {
         if !self.is_new.swap(false, Ordering::AcqRel) || self.is_full_mesh() {
             return Vec::new();
@@ -190,48 +191,48 @@
         self.far_zones().into_iter().flat_map(|zone| self.instances_of(zone)).collect()
     }
 
-    /// Has the peers told at once of what this instance has in flight. News that come before the
-    /// last have been told are told together.
+    /// Requests an immediate digest of this instance's work in flight. Several requests before the
+    /// next digest are combined.
     pub fn announce(&self) {
-        self.news.notify_one();
+        self.changed.notify_one();
     }
 
-    /// Has the instances of the availability zone told at once that this one has taken a place of an engine
-    /// which is nearly full.
+    /// Requests an immediate digest to the availability zone because this instance has taken a slot
+    /// of an engine that is nearly full.
     ///
-    /// Several would otherwise send their next streams to the same last place, and all but one of them
-    /// would wait there while other engines have room.
+    /// Otherwise several instances would send their next streams to the same last slot, and all but
+    /// one of them would wait there while other engines have free slots.
     pub(crate) fn announce_slot(&self) {
-        self.has_taken_place.store(true, Ordering::Release);
+        self.has_taken_slot.store(true, Ordering::Release);
         self.announce();
     }
 
-    /// Returns whether a place was taken that the others have not been told of.
-    pub(super) fn take_place_news(&self) -> bool {
-        self.has_taken_place.swap(false, Ordering::AcqRel)
+    /// Returns whether a slot was taken since the last digest, and resets the flag.
+    pub(super) fn take_slot_change(&self) -> bool {
+        self.has_taken_slot.swap(false, Ordering::AcqRel)
     }
 
-    /// Has the peers told at once if they are few. Among many, a datagram to each for the end of
-    /// each work fills the slowest links, and the answers that instances send over them are late.
+    /// Requests an immediate digest in a full mesh. In zoned mode a datagram to each peer whenever
+    /// work ends would fill the slowest links and delay the answers that instances send over them.
     pub(crate) fn announce_in_full_mesh(&self) {
         if self.is_full_mesh() {
             self.announce();
         }
     }
 
-    /// Returns whether the peers are so few that every digest goes to each.
+    /// Returns whether the instances form a full mesh: every digest goes to every peer.
     pub(crate) fn is_full_mesh(&self) -> bool {
-        self.known.lock().expect("no panic under this lock").len() <= FEW_PEERS
+        self.known.lock().expect("no panic under this lock").len() <= MAX_FULL_MESH_PEERS
     }
 
-    /// Waits until there is something to be told at once.
+    /// Waits until an immediate digest is requested.
     pub async fn announced(&self) {
-        self.news.notified().await;
+        self.changed.notified().await;
     }
 
-    /// Returns whether a peer has told what the caches hold.
-    pub(super) fn was_told(&self) -> bool {
-        self.was_told.load(Ordering::Acquire)
+    /// Returns whether a peer has sent the contents of the caches.
+    pub(super) fn has_cache_seed(&self) -> bool {
+        self.has_cache_seed.load(Ordering::Acquire)
     }
 
     /// Adds an address at which an instance may run.
@@ -239,7 +240,7 @@
         self.known.lock().expect("no panic under this lock").entry(address).or_default();
     }
 
-    /// Notes that this instance is listed and has read who else is.
+    /// Records that this instance is listed and has read the other listed instances.
     pub(super) fn record_listed(&self) {
         self.was_listed.store(true, Ordering::Release);
         self.is_new.store(true, Ordering::Release);
@@ -252,27 +253,27 @@
         known.zone = known.zone.or(zone);
     }
 
-    /// Notes that an instance was heard. Returns whether it is a new one.
-    pub(super) fn hear(&self, address: SocketAddr, digest: &Digest, now: Millis) -> bool {
+    /// Records a digest from an instance. Returns whether the instance is new.
+    pub(super) fn record_digest(&self, address: SocketAddr, digest: &Digest, now: Millis) -> bool {
         let is_able = digest.watches.map(|watch| !watch.is_unable);
         let mut known = self.known.lock().expect("no panic under this lock");
         let known = known.entry(address).or_default();
         known.zone = Some(digest.zone);
         match &mut known.peer {
             Some(peer) if peer.number == digest.from => {
-                (peer.heard_at, peer.is_able) = (now, is_able);
+                (peer.last_seen_at, peer.is_able) = (now, is_able);
                 false
             }
             peer => {
                 let number = digest.from;
-                *peer = Some(Peer { number, heard_at: now, is_able, busy: Vec::new() });
+                *peer = Some(Peer { number, last_seen_at: now, is_able, busy: Vec::new() });
                 true
             }
         }
     }
 
-    /// Notes the engines at which an instance tells of work, its own or that of all other zones, and
-    /// returns those of the last time.
+    /// Replaces the engines at which an instance, or all other zones together, reported work, and
+    /// returns the previous ones.
     pub(super) fn replace_busy(
         &self,
         address: SocketAddr,
@@ -288,7 +289,7 @@
         peer.map(|peer| std::mem::replace(&mut peer.busy, busy)).unwrap_or_default()
     }
 
-    /// Notes further engines at which an instance tells of work.
+    /// Adds engines at which an instance reports work.
     pub(super) fn add_busy(&self, address: SocketAddr, busy: Vec<u32>) {
         let mut known = self.known.lock().expect("no panic under this lock");
         let peer = known.get_mut(&address).and_then(|known| known.peer.as_mut());
@@ -299,14 +300,15 @@
         }
     }
 
-    /// Returns the addresses to tell.
+    /// Returns the addresses of all peers that may run.
     pub fn addresses(&self, now: Millis) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no panic under this lock");
         let current = known.iter().filter(|(_, known)| known.may_run(now));
         current.map(|(address, _)| *address).collect()
     }
 
-    /// Returns the addresses in this instance's availability zone, and those whose zone is not known.
+    /// Returns the addresses of the peers that may run in this availability zone or in an unknown
+    /// one.
     pub(super) fn zone_peers(&self, now: Millis) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no panic under this lock");
         let current = known.iter().filter(|(_, known)| {
@@ -315,52 +317,53 @@
         current.map(|(address, _)| *address).collect()
     }
 
-    /// Returns how many peers were heard of late.
+    /// Returns the number of peers that were recently seen.
     pub fn live_peers(&self, now: Millis) -> usize {
         let known = self.known.lock().expect("no panic under this lock");
         let heard = known.values().filter_map(|known| known.peer.as_ref());
-        heard.filter(|peer| peer.heard_at + PEER_AGE > now).count()
+        heard.filter(|peer| peer.last_seen_at + PEER_AGE > now).count()
     }
 
-    /// Returns how many instances there are at most, this one among them. It counts the silent ones,
-    /// which may run behind a cut.
+    /// Returns the maximum number of instances, including this one. It counts those that send
+    /// nothing, as they may run behind a network partition.
     pub fn instances(&self) -> usize {
         let known = self.known.lock().expect("no panic under this lock").len() + 1;
         if self.was_listed.load(Ordering::Acquire) { known } else { known.max(UNLISTED_INSTANCES) }
     }
 
-    /// Returns whether this instance is to act for all: the least among few, and among many the one that
-    /// tells for the first of the availability zones that are heard.
+    /// Returns whether this instance acts for all instances. In a full mesh that is the one with
+    /// the lowest number, in zoned mode the leader of the lowest zone that was recently seen.
     pub fn is_first(&self, now: Millis) -> bool {
         if self.is_full_mesh() {
-            return self.is_least_beside(None, now);
+            return self.is_lowest_except(None, now);
         }
         let zones = self.zones.lock().expect("no panic under this lock");
         let mut heard = zones.iter().filter(|(_, at)| **at + PEER_AGE > now);
-        heard.all(|(zone, _)| self.zone < *zone) && self.zone_teller(now).is_none()
+        heard.all(|(zone, _)| self.zone < *zone) && self.zone_leader(now).is_none()
     }
 
-    /// Returns the addresses of the `count` instances of the availability zone that tell for it, or would
-    /// next, without this one.
-    pub(super) fn tellers(&self, count: usize, now: Millis) -> Vec<SocketAddr> {
+    /// Returns the addresses of the `count` highest-ranked other instances of this availability
+    /// zone: its leader and those that would replace it.
+    pub(super) fn zone_leaders(&self, count: usize, now: Millis) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no panic under this lock");
-        let heard = self.zone_peers_heard(&known, now);
+        let heard = self.live_zone_peers(&known, now);
         let mut ranked: Vec<_> =
-            heard.map(|(address, peer)| (teller_rank(peer.number), address)).collect();
+            heard.map(|(address, peer)| (leader_rank(peer.number), address)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.into_iter().take(count).map(|(_, address)| address).collect()
     }
 
-    /// Returns this instance's rank among those that act for all, from 0; `None` if it is none of them.
-    /// Among few it is the place of its number, and among many each availability zone has one.
+    /// Returns this instance's rank among those that act for all instances, from 0; `None` if it is
+    /// not among them. In a full mesh it is the position of its number; in zoned mode each
+    /// availability zone has one rank, held by its leader.
     pub fn duty_rank(&self, now: Millis) -> Option<usize> {
         if self.is_full_mesh() {
             let known = self.known.lock().expect("no panic under this lock");
             let heard = known.values().filter_map(|known| known.peer.as_ref());
-            let running = heard.filter(|peer| peer.heard_at + PEER_AGE > now);
+            let running = heard.filter(|peer| peer.last_seen_at + PEER_AGE > now);
             return Some(running.filter(|peer| peer.number < self.number()).count());
         }
-        if self.zone_teller(now).is_some() {
+        if self.zone_leader(now).is_some() {
             return None;
         }
         let zones = self.zones.lock().expect("no panic under this lock");
@@ -368,33 +371,34 @@
         Some(heard.filter(|(zone, _)| **zone < self.zone).count())
     }
 
-    /// Returns whether this instance is to tell a new one what it knows: the least among few, and among
-    /// many the one that tells for its availability zone, with the new one left out.
-    pub(super) fn introduces(&self, new: SocketAddr, now: Millis) -> bool {
+    /// Returns whether this instance should send a new one what it knows. Apart from the new
+    /// instance, that is the one with the lowest number in a full mesh, and the zone leader in
+    /// zoned mode.
+    pub(super) fn is_seeder_for(&self, new: SocketAddr, now: Millis) -> bool {
         if self.is_full_mesh() {
-            return self.is_least_beside(Some(new), now);
+            return self.is_lowest_except(Some(new), now);
         }
         let known = self.known.lock().expect("no panic under this lock");
         let is_zone_peer = known.get(&new).is_some_and(|known| known.zone == Some(self.zone));
-        let others = self.zone_peers_heard(&known, now).filter(|(address, _)| *address != new);
-        is_zone_peer && self.teller_among(others).is_none()
+        let others = self.live_zone_peers(&known, now).filter(|(address, _)| *address != new);
+        is_zone_peer && self.leader_among(others).is_none()
     }
 
-    fn is_least_beside(&self, other: Option<SocketAddr>, now: Millis) -> bool {
+    fn is_lowest_except(&self, other: Option<SocketAddr>, now: Millis) -> bool {
         let known = self.known.lock().expect("no panic under this lock");
         let others = known.iter().filter(|(address, _)| Some(**address) != other);
         let heard = others.filter_map(|(_, known)| known.peer.as_ref());
-        let mut running = heard.filter(|peer| peer.heard_at + PEER_AGE > now);
+        let mut running = heard.filter(|peer| peer.last_seen_at + PEER_AGE > now);
         running.all(|peer| self.number() < peer.number)
     }
 }
 
-/// Returns the rank of the instance with a number among those that could tell for their zone.
-fn teller_rank(number: u64) -> u64 {
+/// Returns the rank of the instance with a number as a candidate for zone leader.
+fn leader_rank(number: u64) -> u64 {
     rank_of(number, hash_of(&number))
 }
 
-/// Returns the rank of the instance with a number among those that could follow a table.
+/// Returns the rank of the instance with a number as a candidate for following a table.
 fn rank_in(number: u64, table: FollowedTable) -> u64 {
     rank_of(number, hash_of(&(number, table)))
 }
--- a/crates/anvilhook-gateway/src/peers/mirrors.rs
+++ b/crates/anvilhook-gateway/src/peers/mirrors.rs
@@ -1,4 +1,4 @@
-//! A followed table as this instance knows it, from which others are told what they have missed.
+//! A local copy of a followed table, from which peers get the changes that they have missed.
 
 use std::collections::{BTreeMap, HashSet};
 
@@ -7,10 +7,11 @@
 use super::rows::RowChanges;
 use crate::tables::{Row, Rows};
 
-/// How many removed rows are remembered. Whoever has missed more reads the table whole.
+/// The number of removed rows that are remembered. A peer that has missed more reads the whole
+/// table.
 const MAX_REMOVED: usize = 256;
 
-/// `Mirror` is the rows of a table, and those that were removed of late.
+/// `Mirror` stores the rows of a table, and those that were recently removed.
 #[derive(Debug, Default)]
 pub struct Mirror {
     rows: BTreeMap<String, Row>,
@@ -18,7 +19,7 @@
     known: u64,
     /// The newest change.
     newest: u64,
-    /// Since which version all removed rows are remembered.
+    /// The version since which all removed rows are remembered.
     complete_since: u64,
 }
 
@@ -28,8 +29,8 @@
         self.known
     }
 
-    /// Takes in all rows as of one moment, and returns what has changed since the table was known, if it
-    /// ever was.
+    /// Applies a full scan of the table. Returns the changes since the known version, if the table
+    /// was read before.
     pub fn reset(&mut self, rows: &Rows) -> Option<RowChanges> {
         let changes = (self.known > 0).then(|| self.changes_to(rows));
         match &changes {
@@ -39,15 +40,15 @@
                 (self.known, self.complete_since) = (rows.version, rows.version);
             }
         }
-        // Rows that were removed leave no version behind, and may be the newest change.
+        // Removed rows leave no version in a scan, and may be the newest change.
         self.newest = rows.version;
         changes
     }
 
     fn changes_to(&self, rows: &Rows) -> RowChanges {
         let listed: HashSet<&str> = rows.rows.iter().map(|row| row.key.as_str()).collect();
-        let standing = self.rows.values().filter(|row| row.value.is_some());
-        let removed = standing.filter(|row| !listed.contains(row.key.as_str()));
+        let present = self.rows.values().filter(|row| row.value.is_some());
+        let removed = present.filter(|row| !listed.contains(row.key.as_str()));
         let removed =
             removed.map(|row| Row { value: None, version: rows.version, ..Row::clone(row) });
         let changed = rows.rows.iter().filter(|row| row.version > self.known).cloned();
@@ -56,16 +57,16 @@
         self.following(Rows { version: rows.version, rows: changes })
     }
 
-    /// Returns rows as they follow on what is known.
+    /// Returns rows as the changes that follow the newest known change.
     pub fn following(&self, rows: Rows) -> RowChanges {
         RowChanges { span: Span { after: self.newest, to: rows.version }, rows: rows.rows }
     }
 
-    /// Takes in changed rows.
-    pub fn apply(&mut self, told: &RowChanges) {
-        self.known = self.known.max(told.span.to);
-        self.newest = self.newest.max(told.newest());
-        for row in &told.rows {
+    /// Applies changed rows.
+    pub fn apply(&mut self, changes: &RowChanges) {
+        self.known = self.known.max(changes.span.to);
+        self.newest = self.newest.max(changes.newest());
+        for row in &changes.rows {
             self.rows.insert(row.key.clone(), row.clone());
         }
         self.forget_removed();
@@ -78,12 +79,13 @@
             return;
         }
         versions.sort_unstable();
-        let oldest_kept = versions[versions.len() - MAX_REMOVED];
-        self.rows.retain(|_, row| row.value.is_some() || row.version >= oldest_kept);
-        self.complete_since = self.complete_since.max(oldest_kept - 1);
+        let oldest_retained = versions[versions.len() - MAX_REMOVED];
+        self.rows.retain(|_, row| row.value.is_some() || row.version >= oldest_retained);
+        self.complete_since = self.complete_since.max(oldest_retained - 1);
     }
 
-    /// Returns what has changed since a version; `None` if that is not known whole, or nothing has.
+    /// Returns the changes since a version; `None` if they are not completely known, or there are
+    /// none.
     pub fn since(&self, version: u64) -> Option<RowChanges> {
         if version < self.complete_since || version >= self.known {
             return None;
--- a/crates/anvilhook-gateway/src/peers/mod.rs
+++ b/crates/anvilhook-gateway/src/peers/mod.rs
@@ -1,20 +1,20 @@
-//! What instances tell each other: loads and caches of engines, in datagrams.
+//! Gossip between instances: they publish engine loads, cache contents and findings in datagrams.
 //!
-//! Everything told is a hint. An instance that hears nothing goes on by what it knows itself, and
-//! serves worse, never wrongly.
+//! All received data is a hint. An instance that receives nothing uses its own observations; its
+//! placements get worse, but its answers stay correct.
 
+mod cache_updates;
 mod changes;
 mod digests;
-mod gathering;
 mod members;
 mod mirrors;
 mod notices;
+mod publishing;
 mod registration;
 mod rows;
 mod sections;
 mod seeding;
 mod suspects;
-mod telling;
 mod usages;
 mod versions;
 mod watches;
@@ -31,34 +31,34 @@
 use crate::relay::{Gateway, PEER_SOURCE};
 use crate::wires::Wire;
 
-use digests::take_in;
-use seeding::tell_caches;
-use suspects::{StandingTeller, tell_suspects};
-use telling::{Teller, tell_missed};
-use usages::{UsageTeller, take_in_usage};
+use digests::apply;
+use publishing::{Publisher, send_missed_rows};
+use seeding::send_caches;
+use suspects::{SuspectPublisher, send_suspects};
+use usages::{UsagePublisher, apply_usage};
 use zones::ZoneLink;
 
+pub use cache_updates::CacheUpdates;
 pub use changes::PublishedLoads;
 pub use digests::{CachedPrompt, Digest, EngineLoad, Scope, ServiceWork};
-pub use gathering::CacheUpdates;
 pub use members::Peers;
 pub use mirrors::Mirror;
 pub use notices::{Notice, NoticeKind};
+pub(crate) use publishing::SIGNIFICANT_CHANGE_MS;
 pub use registration::register;
 pub use rows::{Assembler, RowChanges, RowsPiece, pieces_of};
 pub use sections::{SectionBytes, SectionLabels};
 pub use seeding::seed_caches;
-pub(crate) use telling::SIGNIFICANT_CHANGE_MS;
 pub use versions::{FollowedTable, TableVersion};
 pub use watches::{TableWatch, WatchState};
 
-/// The pause between two digests.
-const TELL_EVERY: Duration = Duration::from_millis(50);
+/// The interval between two digests.
+const PUBLISH_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The most bytes of a digest, below what a link takes in one piece.
+/// The maximum size of a digest in bytes, below what a link carries in one packet.
 const MAX_DIGEST_BYTES: usize = 1_400;
 
-/// Tells peers and listens to them for as long as the process runs.
+/// Sends digests to the peers and receives theirs for as long as the process runs.
 pub async fn exchange<W: Wire, C: Clock>(
     socket: UdpSocket,
     number: u64,
@@ -66,34 +66,34 @@
     gateway: Gateway<W, C>,
     clock: C,
 ) {
-    let mut ticks = tokio::time::interval(TELL_EVERY);
+    let mut ticks = tokio::time::interval(PUBLISH_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let Ok(own) = socket.local_addr() else { return };
     let peers = Arc::clone(gateway.peers());
     peers.set_number(number);
     let mut buf = vec![0; MAX_DIGEST_BYTES * 2];
     let mut link = Link {
-        teller: Teller::new(rng.clone()),
+        publisher: Publisher::new(rng.clone()),
         zones: ZoneLink::new(rng, own),
-        standing: StandingTeller::default(),
-        usage: UsageTeller::default(),
+        suspects: SuspectPublisher::default(),
+        usage: UsagePublisher::default(),
         assembler: Assembler::default(),
     };
     loop {
         tokio::select! {
             _ = ticks.tick() => {
                 let now = clock.now();
-                link.standing.tick(&socket, &gateway, now);
-                link.tell(&socket, &gateway, now);
+                link.suspects.tick(&socket, &gateway, now);
+                link.publish(&socket, &gateway, now);
                 link.zones.tick(&socket, &gateway, now);
                 link.usage.tick(&socket, &gateway, now);
             }
-            () = peers.announced() => link.tell(&socket, &gateway, clock.now()),
+            () = peers.announced() => link.publish(&socket, &gateway, clock.now()),
             received = socket.recv_from(&mut buf) => {
                 let Ok((len, from)) = received else { continue };
                 match postcard::from_bytes::<Digest>(&buf[..len]) {
-                    Ok(digest) => link.hear(digest, from, &socket, &gateway, clock.now()),
-                    // No line: whoever sends datagrams could fill the log with them.
+                    Ok(digest) => link.receive(digest, from, &socket, &gateway, clock.now()),
+                    // Not logged: a sender of bad datagrams could fill the log.
                     Err(_) => gateway.metrics().record_unreadable(PEER_SOURCE),
                 }
             }
@@ -101,28 +101,28 @@
     }
 }
 
-/// `Link` is this instance's link to the others.
+/// `Link` holds this instance's publishers and the state of its exchange with peers.
 struct Link {
-    teller: Teller,
+    publisher: Publisher,
     zones: ZoneLink,
-    standing: StandingTeller,
-    usage: UsageTeller,
+    suspects: SuspectPublisher,
+    usage: UsagePublisher,
     assembler: Assembler,
 }
 
 impl Link {
-    fn tell<W: Wire, C: Clock>(
+    fn publish<W: Wire, C: Clock>(
         &mut self,
         socket: &UdpSocket,
         gateway: &Gateway<W, C>,
         now: Millis,
     ) {
-        if let Some(told) = self.teller.tell(socket, gateway, now) {
+        if let Some(told) = self.publisher.publish(socket, gateway, now) {
             self.zones.collect(&told, now);
         }
     }
 
-    fn hear<W: Wire, C: Clock>(
+    fn receive<W: Wire, C: Clock>(
         &mut self,
         mut digest: Digest,
         from: SocketAddr,
@@ -132,20 +132,20 @@
     ) {
         let peers = gateway.peers();
         gateway.record_contact(PEER_SOURCE);
-        if let Scope::Zone(teller) = digest.scope {
-            // Another zone may have lost its way to a table that this one still reaches.
+        if let Scope::Zone(sender) = digest.scope {
+            // Another zone may have lost its connection to a table that this one still reaches.
             digest.watches.iter_mut().for_each(|watch| watch.away_ms = None);
-            peers.take_in_watches(&digest, teller, now);
-            take_in_usage(&digest, gateway, now);
-            self.zones.hear(&digest, teller, from, socket, gateway, now);
+            peers.apply_watches(&digest, sender, now);
+            apply_usage(&digest, gateway, now);
+            self.zones.receive(&digest, sender, from, socket, gateway, now);
             return;
         }
         if !digest.cached.is_empty() && digest.is_partial && digest.scope == Scope::Instance {
-            peers.record_told();
+            peers.record_cache_seed();
         }
-        if peers.hear(from, &digest, now) && peers.introduces(from, now) {
-            tell_caches(socket, from, gateway, now);
-            tell_suspects(socket, from, gateway, now);
+        if peers.record_digest(from, &digest, now) && peers.is_seeder_for(from, now) {
+            send_caches(socket, from, gateway, now);
+            send_suspects(socket, from, gateway, now);
         }
         if let Some(piece) = digest.rows.take() {
             let table = piece.table;
@@ -154,9 +154,9 @@
             }
         }
         if let Some((table, known)) = digest.asks {
-            tell_missed(table, known, from, socket, gateway, now);
+            send_missed_rows(table, known, from, socket, gateway, now);
         }
-        take_in(&digest, from, gateway, now);
+        apply(&digest, from, gateway, now);
         if digest.scope == Scope::Instance && !digest.is_partial {
             self.zones.collect(&digest, now);
         }
--- a/crates/anvilhook-gateway/src/peers/notices.rs
+++ b/crates/anvilhook-gateway/src/peers/notices.rs
@@ -1,4 +1,4 @@
-//! Notices: what instances find out for certain of engines, and tell all others.
+//! Notices: facts that an instance has observed about an engine and publishes to all others.
 
 use anvilhook_core::orders::Role;
 use anvilhook_core::units::{Clock, Millis};
@@ -10,57 +10,57 @@
 use crate::relay::Gateway;
 use crate::wires::Wire;
 
-/// `Notice` is what an instance has found out of an engine, and the others should know.
+/// `Notice` is a fact that an instance has observed about an engine.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Notice {
-    /// The short form of the engine's id and start.
+    /// The hash of the engine's id and start.
     pub engine: u32,
-    /// What was found out.
+    /// The observed fact.
     pub kind: NoticeKind,
 }
 
-/// `NoticeKind` is what can be found out of an engine.
+/// `NoticeKind` is the kind of an observed fact.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum NoticeKind {
-    /// It takes no work.
+    /// The engine is not accepting work.
     Away {
-        /// For how much longer, in milliseconds.
+        /// The remaining time, in milliseconds.
         left_ms: u32,
     },
-    /// It has taken an order to change its role.
+    /// The engine has accepted an order to change its role.
     Changing {
-        /// The role that it takes.
+        /// The new role.
         role: Role,
-        /// How much longer that may take, in milliseconds.
+        /// The maximum remaining time of the change, in milliseconds.
         left_ms: u32,
     },
-    /// Another engine answers at its address, so that it is gone.
+    /// Another engine answers at its address, so this one has terminated.
     Gone,
-    /// It has said that it leaves.
+    /// The engine has announced that it is leaving.
     Leaving,
-    /// Its host refuses connections.
+    /// The engine's host refuses connections.
     Closed {
-        /// For how much longer it is left alone, in milliseconds.
+        /// The remaining backoff, in milliseconds.
         left_ms: u32,
     },
-    /// It answered a request of the sender with an error.
+    /// The engine has answered a request of the sender with an error.
     Error,
-    /// It has shown that it has a role.
+    /// The engine has shown that it has a role.
     HasRole {
         /// The role.
         role: Role,
-        /// The number of its report that was listed then.
+        /// The number of its newest listed report at that time.
         sequence: u64,
     },
 }
 
 impl Notice {
-    /// Returns whether another notice says the same, whenever it was made.
+    /// Returns whether another notice states the same fact, whenever it was made.
     pub(super) fn is_same(&self, other: &Notice) -> bool {
         self.engine == other.engine && self.after(Millis::MAX) == other.after(Millis::MAX)
     }
 
-    /// Returns the notice as it is after a time.
+    /// Returns the notice with its remaining time reduced by `time`.
     pub(super) fn after(&self, time: Millis) -> Notice {
         let rest = |left_ms: u32| (Millis(u64::from(left_ms)) - time).0 as u32;
         let kind = match self.kind {
@@ -78,8 +78,9 @@
     }
 }
 
-/// Returns what this instance itself has found out of an upstream. What it has from others is not told
-/// on: each telling adds the time on the way, and slow instances would hold an engine away for ever.
+/// Returns this instance's own findings about an upstream. Those received from peers are not
+/// forwarded: each hop adds its delay to the remaining time, and slow instances would mark an
+/// engine unavailable forever.
 pub(super) fn own_findings(upstream: &Upstream, now: Millis) -> impl Iterator<Item = NoticeKind> {
     let state = &upstream.state;
     let left_ms = |until: Millis| (until > now).then(|| ms_until(until, now));
@@ -95,7 +96,7 @@
     findings.into_iter().flatten()
 }
 
-/// Returns the role that an upstream has shown to this instance, if the list shows another one.
+/// Returns the role that an upstream has shown to this instance, if its entry lists another one.
 fn own_observed_role(upstream: &Upstream) -> Option<NoticeKind> {
     let observed = upstream.state.observed_role(upstream.entry.sequence)?;
     let is_news = observed.is_own && Some(observed.role) != upstream.entry.role;
@@ -103,7 +104,7 @@
     is_news.then_some(NoticeKind::HasRole { role, sequence })
 }
 
-/// Returns the change of role that this instance has ordered and that is not over.
+/// Returns the role change that this instance has ordered and that is not complete.
 fn own_role_change(upstream: &Upstream, now: Millis) -> Option<NoticeKind> {
     let change = upstream.state.role_change(now, upstream.role())?;
     let RoleChange { role, until, is_own } = change;
@@ -114,8 +115,8 @@
     (until - now).0 as u32
 }
 
-/// Takes in what a peer has found out.
-pub(super) fn take_in_notices<W: Wire, C: Clock>(
+/// Applies the findings of a peer.
+pub(super) fn apply_notices<W: Wire, C: Clock>(
     digest: &Digest,
     gateway: &Gateway<W, C>,
     now: Millis,
@@ -133,7 +134,8 @@
             NoticeKind::Leaving => {
                 upstream.state.mark_leaving(false, now);
             }
-            // What another zone tells bears the number of who tells it on, and would count as one more.
+            // A digest of another zone carries the number of its forwarder, and would count as one
+            // more observer.
             NoticeKind::Error if digest.scope == Scope::Instance => {
                 gateway.note_error(upstream, digest.from, false);
             }
--- a/crates/anvilhook-gateway/src/peers/registration.rs
+++ b/crates/anvilhook-gateway/src/peers/registration.rs
@@ -1,4 +1,4 @@
-//! How instances find each other: by rows of a table.
+//! Registers this instance in a table, by which instances find each other.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,8 +14,9 @@
 /// The pause after a failed call to the table.
 const TABLE_PAUSE: Duration = Duration::from_millis(700);
 
-/// Lists this instance in the table, and learns who else is listed. Of two instances that start
-/// together, each lists itself before it reads, so at least one learns of the other and tells it.
+/// Lists this instance in the table, and adds the other listed ones. Of two instances that start
+/// together, each lists itself before it reads, so at least one of them finds the other and sends
+/// it a digest.
 pub async fn register<T: Table>(table: T, name: String, address: SocketAddr, peers: Arc<Peers>) {
     loop {
         match try_register(&table, &name, address, &peers).await {
@@ -36,7 +37,7 @@
 ) -> Result<(), TableError> {
     let own = format!("{address} {:08x}", peers.zone());
     let value = bytes::Bytes::from(own.clone());
-    // Most instances are new to the table; the row of an earlier start is found by the conflict.
+    // Most instances are new to the table; a conflict reveals the row of an earlier start.
     let write = Write { key: name.to_owned(), expected: 0, value: value.clone() };
     let written = table.write(PEER_TABLE, write).await?;
     let rows = table.scan(PEER_TABLE).await?;
@@ -54,8 +55,8 @@
     Ok(())
 }
 
-/// Returns the address in an instance's row, and the short form of its availability zone if it stands
-/// there.
+/// Returns the address in an instance's row, and the hash of its availability zone if the row has
+/// one.
 fn listed_instance(text: &str) -> Option<(SocketAddr, Option<u32>)> {
     let (address, zone) = text.split_once(' ').unwrap_or((text, ""));
     Some((address.parse().ok()?, u32::from_str_radix(zone, 16).ok()))
--- a/crates/anvilhook-gateway/src/peers/rows.rs
+++ b/crates/anvilhook-gateway/src/peers/rows.rs
@@ -1,7 +1,7 @@
-//! Changed rows of a followed table, told within an availability zone.
+//! Encodes changed rows of a followed table into datagrams for an availability zone.
 //!
-//! A datagram carries a piece of them. Whoever loses one piece learns by the version told in digests
-//! that it lacks something, and asks the table itself.
+//! A datagram carries one piece of the rows. An instance that loses a piece learns from the version
+//! in digests that it is missing changes, and requests them.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,24 +13,26 @@
 use super::versions::FollowedTable;
 use crate::tables::Row;
 
-/// The most bytes of rows in one datagram; with its head it stays below what a link takes in one piece.
+/// The maximum bytes of rows in one datagram. With its header it stays below what a link carries in
+/// one packet.
 const PIECE_BYTES: usize = 1_200;
 
-/// The most pieces of one span, and the bytes of rows that surely fit into them.
+/// The maximum number of pieces in a span, and the bytes of rows that always fit into them.
 const MAX_PIECES: usize = 32;
 const SPAN_BYTES: usize = 30_000;
 
-/// The most spans that some rows are told in. What is larger is not told: to send it to each of many
-/// instances would hold up the requests on a slow link, and each can read it from the table.
+/// The maximum number of spans for one set of changes. A larger set is not published: sending it to
+/// each of many instances would delay the requests on a slow link, and each instance can read it
+/// from the table.
 const MAX_SPANS: usize = 4;
 
-/// The bytes that a row takes beside its key and its value, at most.
+/// The maximum bytes of an encoded row in addition to its key and value.
 const ROW_BYTES: usize = 16;
 
-/// `RowChanges` is a part of a table's history.
+/// `RowChanges` is a section of a table's history.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct RowChanges {
-    /// The part.
+    /// The versions that it covers.
     pub span: Span,
     /// The rows that changed in it, in order.
     pub rows: Vec<Row>,
@@ -42,10 +44,11 @@
         self.rows.iter().map(|row| row.version).max().unwrap_or_default()
     }
 
-    /// Returns the rows in spans that follow on each other, each small enough to be told by itself.
+    /// Splits the rows into consecutive spans, each small enough to be published on its own.
     ///
-    /// Hundreds of engines that change at once are more than one span takes. Told of none of them, all
-    /// instances of an availability zone would ask the table, and hear late of an upstream that leaves.
+    /// Changes of hundreds of engines at once exceed one span. If none of them were published, all
+    /// instances of an availability zone would read the table, and learn late of an upstream that
+    /// leaves.
     fn spans(&self) -> Vec<RowChanges> {
         let mut spans = Vec::new();
         let (mut after, mut rows, mut bytes) = (self.span.after, Vec::new(), 0);
@@ -53,7 +56,8 @@
             let size =
                 row.key.len() + row.value.as_ref().map_or(0, |value| value.len()) + ROW_BYTES;
             let last = rows.last().map_or(after, |last: &Row| last.version);
-            // Rows of one transaction stay together: whoever knows one of them counts as knowing all.
+            // Rows of one transaction stay together: an instance that has one of them counts as
+            // having all.
             if bytes + size > SPAN_BYTES && last > after && row.version > last {
                 let span = Span { after, to: last };
                 spans.push(RowChanges { span, rows: std::mem::take(&mut rows) });
@@ -67,29 +71,29 @@
     }
 }
 
-/// `RowsPiece` is a part of the bytes of some [`RowChanges`].
+/// `RowsPiece` is one piece of encoded [`RowChanges`].
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct RowsPiece {
     /// The table.
     pub table: FollowedTable,
-    /// The newest change before the rows.
+    /// The version of the newest change before the rows.
     pub after: u64,
-    /// The table's version that the rows lead to.
+    /// The version of the table after the rows.
     pub to: u64,
-    /// Which piece this is, from 0.
+    /// The index of this piece, from 0.
     pub index: u16,
-    /// How many there are.
+    /// The number of pieces.
     pub count: u16,
-    /// The bytes.
+    /// The encoded bytes.
     pub bytes: Vec<u8>,
 }
 
-/// The bytes of rows, all pieces together: key, value if the row was not removed, and version.
+/// A row as encoded across all pieces: key, value unless the row was removed, and version.
 type EncodedRow<'a> = (&'a str, Option<&'a [u8]>, u64);
 
-/// Returns the pieces that tell of rows; none if they are too large to be told.
-pub fn pieces_of(table: FollowedTable, told: &RowChanges) -> Vec<RowsPiece> {
-    let spans = told.spans();
+/// Returns the pieces of changed rows; none if the rows are too large to publish.
+pub fn pieces_of(table: FollowedTable, changes: &RowChanges) -> Vec<RowsPiece> {
+    let spans = changes.spans();
     if spans.len() > MAX_SPANS {
         return Vec::new();
     }
@@ -97,16 +101,16 @@
     pieces.unwrap_or_default().into_iter().flatten().collect()
 }
 
-/// Returns the pieces of one span; `None` if they are too many.
-fn span_pieces(table: FollowedTable, told: &RowChanges) -> Option<Vec<RowsPiece>> {
-    let rows = told.rows.iter().map(|row| (row.key.as_str(), row.value.as_deref(), row.version));
+/// Returns the pieces of one span; `None` if there are too many.
+fn span_pieces(table: FollowedTable, changes: &RowChanges) -> Option<Vec<RowsPiece>> {
+    let rows = changes.rows.iter().map(|row| (row.key.as_str(), row.value.as_deref(), row.version));
     let rows: Vec<EncodedRow<'_>> = rows.collect();
     let bytes = postcard::to_stdvec(&rows).ok()?;
     let chunks: Vec<_> = bytes.chunks(PIECE_BYTES).collect();
     if chunks.len() > MAX_PIECES {
         return None;
     }
-    let Span { after, to } = told.span;
+    let Span { after, to } = changes.span;
     let count = chunks.len() as u16;
     let piece = |(index, bytes): (usize, &&[u8])| RowsPiece {
         table,
@@ -119,8 +123,8 @@
     Some(chunks.iter().enumerate().map(piece).collect())
 }
 
-/// `Assembler` puts pieces together. Of each sender only the newest span of a table is kept, so that
-/// lost pieces take no room for longer.
+/// `Assembler` puts pieces together. It retains only the newest span of each sender and table, so
+/// that lost pieces don't occupy memory.
 #[derive(Debug, Default)]
 pub struct Assembler {
     partial: HashMap<(SocketAddr, FollowedTable), Partial>,
@@ -133,8 +137,8 @@
 }
 
 impl Assembler {
-    /// Takes a piece in. Returns the rows if it was the last one that lacked; a piece that can't be
-    /// right, and rows that can't be read, are dropped.
+    /// Adds a piece. Returns the rows once no piece is missing. Invalid pieces and undecodable rows
+    /// are dropped.
     ///
     /// ```
     /// use anvilhook_core::watches::Span;
@@ -142,11 +146,11 @@
     /// use anvilhook_gateway::tables::Row;
     ///
     /// let row = Row { key: "a".to_owned(), value: Some("b".repeat(2_000).into()), version: 7 };
-    /// let told = RowChanges { span: Span { after: 5, to: 9 }, rows: vec![row] };
-    /// let pieces = pieces_of(FollowedTable::Config, &told);
+    /// let changes = RowChanges { span: Span { after: 5, to: 9 }, rows: vec![row] };
+    /// let pieces = pieces_of(FollowedTable::Config, &changes);
     /// let (mut assembler, from) = (Assembler::default(), ([127, 0, 0, 1], 1).into());
     /// assert_eq!(assembler.take(from, pieces[1].clone()), None);
-    /// assert_eq!(assembler.take(from, pieces[0].clone()), Some(told));
+    /// assert_eq!(assembler.take(from, pieces[0].clone()), Some(changes));
     /// ```
     pub fn take(&mut self, from: SocketAddr, piece: RowsPiece) -> Option<RowChanges> {
         let RowsPiece { table, after, to, index, count, bytes } = piece;
--- a/crates/anvilhook-gateway/src/peers/sections.rs
+++ b/crates/anvilhook-gateway/src/peers/sections.rs
@@ -1,4 +1,4 @@
-//! What the bytes of digests go to, by section and by whose news they are.
+//! Counts the bytes of sent digests by section and scope.
 
 use std::collections::BTreeMap;
 
@@ -14,23 +14,24 @@
 /// `SectionLabels` name a section of the digests of one scope.
 #[derive(Clone, Copy, Debug, EncodeLabelSet, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct SectionLabels {
-    /// Whose news it is: `instance`, `zone` or `far`.
+    /// The scope of the digest: `instance`, `zone` or `far`.
     pub scope: &'static str,
-    /// `loads`, `cached`, `notices`, `suspects`, `work`, `rows` or `usage`; `rest` is who sends, and the watches.
+    /// `loads`, `cached`, `notices`, `suspects`, `work`, `rows` or `usage`; `rest` is the sender's
+    /// identity and the watches.
     pub section: &'static str,
 }
 
 /// `SectionBytes` counts the bytes of sent digests by section.
 ///
-/// An instance on a narrow link is late with its answers when its digests fill the link. Their sum does
-/// not tell which news to cut; this does.
+/// An instance on a narrow link answers late when its digests fill the link. The total does not
+/// show which section to reduce; these counters do.
 #[derive(Clone, Debug, Default)]
 pub struct SectionBytes {
     bytes: Family<SectionLabels, Counter>,
 }
 
 impl SectionBytes {
-    /// Returns the counters, for a registry.
+    /// Returns the counters, for a metrics registry.
     pub(crate) fn family(&self) -> Family<SectionLabels, Counter> {
         self.bytes.clone()
     }
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Returns the bytes so far, by scope and section.
+    /// Returns the bytes sent so far, by scope and section.
     pub fn totals(&self) -> BTreeMap<&'static str, BTreeMap<&'static str, u64>> {
         const SCOPES: [&str; 3] = ["instance", "zone", "far"];
         const SECTIONS: [&str; 8] =
--- a/crates/anvilhook-gateway/src/peers/seeding.rs
+++ b/crates/anvilhook-gateway/src/peers/seeding.rs
@@ -1,4 +1,4 @@
-//! What a new instance learns of the engines' caches.
+//! Seeds the cache index of a new instance.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -8,27 +8,26 @@
 use anvilhook_core::units::{Clock, Millis};
 use tokio::net::UdpSocket;
 
-use super::TELL_EVERY;
+use super::PUBLISH_INTERVAL;
 use super::digests::{CachedPrompt, Digest};
-use super::telling::send;
+use super::publishing::send;
 use crate::events::{Event, emit};
 use crate::prompts::Part;
 use crate::relay::{Gateway, MIN_PUBLISHED_TOKENS};
 use crate::wires::Wire;
 
-/// The parts in one digest for a new instance.
-const PARTS_A_DIGEST: usize = 80;
+/// The number of parts in one digest for a new instance.
+const PARTS_PER_DIGEST: usize = 80;
 
-/// How long a new instance listens before it asks the engines what they hold.
+/// How long a new instance waits for digests before it asks the engines for their cache contents.
 const SEED_DELAY: Duration = Duration::from_millis(150);
 
-/// The same among many instances, where those that tell for their availability zones must first hear each
-/// other.
-const SEED_DELAY_OF_MANY: Duration = Duration::from_millis(900);
+/// The same in zoned mode, where the zone leaders must first receive each other's digests.
+const ZONED_SEED_DELAY: Duration = Duration::from_millis(900);
 
-/// Tells a new instance what the caches are believed to hold. It would otherwise have each shared
-/// part read again that it meets.
-pub(super) fn tell_caches<W: Wire, C: Clock>(
+/// Sends a new instance the estimated contents of the caches. Otherwise it would have each shared
+/// part that it meets read again.
+pub(super) fn send_caches<W: Wire, C: Clock>(
     socket: &UdpSocket,
     to: SocketAddr,
     gateway: &Gateway<W, C>,
@@ -37,7 +36,7 @@
     let view = gateway.fleet().view();
     for (engine, parts) in gateway.caches().shared_parts(MIN_PUBLISHED_TOKENS) {
         let Some(upstream) = view.get(&engine) else { continue };
-        for parts in parts.chunks(PARTS_A_DIGEST) {
+        for parts in parts.chunks(PARTS_PER_DIGEST) {
             let parts = parts.iter().map(|part| (part.id, part.tokens)).collect();
             let cached = vec![CachedPrompt { engine: upstream.digest, parts, own_tokens: 0 }];
             let digest = Digest { cached, ..Digest::partial(gateway.peers(), now) };
@@ -46,17 +45,17 @@
     }
 }
 
-/// Reads once what the engines' caches hold, if no instance can tell.
+/// Reads the contents of the engines' caches once, if no instance can send them.
 ///
-/// After the loss of all instances the engines still hold what they have read. One instance asks
-/// them and tells the others; a call to each engine by each instance would hold the engines up.
+/// After the loss of all instances the engines still have their caches. One instance asks them and
+/// publishes the result; a call to each engine by each instance would delay the engines.
 pub async fn seed_caches<W: Wire, C: Clock>(gateway: Gateway<W, C>, clock: C) {
     while !gateway.is_ready() {
-        tokio::time::sleep(TELL_EVERY).await;
+        tokio::time::sleep(PUBLISH_INTERVAL).await;
     }
     let peers = gateway.peers();
-    tokio::time::sleep(if peers.is_full_mesh() { SEED_DELAY } else { SEED_DELAY_OF_MANY }).await;
-    if peers.was_told() || !peers.is_first(clock.now()) {
+    tokio::time::sleep(if peers.is_full_mesh() { SEED_DELAY } else { ZONED_SEED_DELAY }).await;
+    if peers.has_cache_seed() || !peers.is_first(clock.now()) {
         return;
     }
     let view = gateway.fleet().view();
@@ -64,7 +63,7 @@
     let readings = engines.map(async |engine| (engine, gateway.read_cache(engine).await));
     let mut caches = futures_util::future::join_all(readings).await;
     if !peers.is_full_mesh() {
-        keep_shared(&mut caches);
+        retain_shared(&mut caches);
     }
     for (engine, parts) in &caches {
         gateway.record_parts(engine, parts);
@@ -72,10 +71,11 @@
     emit(&Event::CachesRead { parts: caches.iter().map(|(_, parts)| parts.len()).sum() });
 }
 
-/// Keeps only the parts that more than one engine holds. The rest are nearly all prompts' own parts,
-/// of no use to other requests; told to each of many peers, they would fill a slow link for seconds,
-/// and requests that wait behind them would be sent on for callers that have left long before.
-fn keep_shared<E>(caches: &mut [(E, Vec<Part>)]) {
+/// Retains only the parts that more than one engine has. The rest are nearly all prompts' own
+/// parts, which are of no use to other requests. Sent to each of many peers, they would fill a slow
+/// link for seconds, and requests queued behind them would be forwarded for callers that have left
+/// long before.
+fn retain_shared<E>(caches: &mut [(E, Vec<Part>)]) {
     let mut holders: HashMap<u64, usize> = HashMap::new();
     for part in caches.iter().flat_map(|(_, parts)| parts) {
         *holders.entry(part.id).or_default() += 1;
--- a/crates/anvilhook-gateway/src/peers/usages.rs
+++ b/crates/anvilhook-gateway/src/peers/usages.rs
@@ -1,8 +1,9 @@
-//! Telling of the usage of client accounts.
+//! Publishes the usage of client accounts.
 //!
-//! The load that this answers: a hundred instances that count the requests of hundreds of accounts, each
-//! of which may end at any moment. Each tells its sums to the few that would tell for its availability zone,
-//! so that what it has counted survives it; the one that does tells other zones the sum of its own.
+//! Designed for: a hundred instances that count the requests of hundreds of accounts, each of which
+//! may terminate at any moment. Each sends its sums to the leader of its availability zone and the
+//! next candidates, so that its counts survive it. The leader sends the sums of its zone to other
+//! zones.
 
 use std::net::SocketAddr;
 
@@ -11,26 +12,27 @@
 use tokio::net::UdpSocket;
 
 use super::digests::{Digest, Scope};
-use super::telling::send;
+use super::publishing::send;
 use crate::relay::Gateway;
 use crate::wires::Wire;
 
-/// After how many ticks counts are told.
+/// The number of ticks between publications of counts.
 const USAGE_TICKS: u32 = 8;
 
-/// To how many instances of the availability zone counts are told: the one that tells for it, and those
-/// that would after it.
-const TELLERS: usize = 3;
+/// The number of instances of the availability zone that receive counts: the leader, and the
+/// candidates that would replace it.
+const LEADER_CANDIDATES: usize = 3;
 
-/// `UsageTeller` tells the instances that keep the counts of this one's availability zone.
+/// `UsagePublisher` sends this instance's counts to those that store them for the availability
+/// zone.
 #[derive(Default)]
-pub(super) struct UsageTeller {
+pub(super) struct UsagePublisher {
     ticks: u32,
-    told: Vec<SocketAddr>,
+    recipients: Vec<SocketAddr>,
 }
 
-impl UsageTeller {
-    /// Tells what there is to tell, if it is time.
+impl UsagePublisher {
+    /// Publishes the pending counts if the interval has passed.
     pub fn tick<W: Wire, C: Clock>(
         &mut self,
         socket: &UdpSocket,
@@ -42,42 +44,47 @@
             return;
         }
         let peers = gateway.peers();
-        let mut audience =
-            if peers.is_full_mesh() { peers.addresses(now) } else { peers.tellers(TELLERS, now) };
-        audience.sort_unstable();
-        if audience != self.told {
+        let mut recipients = if peers.is_full_mesh() {
+            peers.addresses(now)
+        } else {
+            peers.zone_leaders(LEADER_CANDIDATES, now)
+        };
+        recipients.sort_unstable();
+        if recipients != self.recipients {
             gateway.usage().resend_all();
-            self.told = audience;
+            self.recipients = recipients;
         }
-        while let Some(news) = gateway.usage().take_update(now) {
-            let digest = Digest { usage: Some(news), ..Digest::partial(peers, now) };
-            send(&digest, &self.told, socket, gateway);
+        while let Some(updates) = gateway.usage().take_update(now) {
+            let digest = Digest { usage: Some(updates), ..Digest::partial(peers, now) };
+            send(&digest, &self.recipients, socket, gateway);
         }
     }
 }
 
-/// Returns the digests that tell other availability zones of this one's usage.
+/// Returns the digests of this zone's usage for other availability zones.
 pub(super) fn zone_usage<W: Wire, C: Clock>(
     gateway: &Gateway<W, C>,
     scope: Scope,
     now: Millis,
 ) -> Vec<Digest> {
     let peers = gateway.peers();
-    let news = gateway.usage().zone_updates(peers.zone(), now).into_iter();
-    news.map(|news| Digest { scope, usage: Some(news), ..Digest::partial(peers, now) }).collect()
+    let updates = gateway.usage().zone_updates(peers.zone(), now).into_iter();
+    updates
+        .map(|updates| Digest { scope, usage: Some(updates), ..Digest::partial(peers, now) })
+        .collect()
 }
 
-/// Takes in what a peer tells of usage.
-pub(super) fn take_in_usage<W: Wire, C: Clock>(
+/// Applies the usage that a peer publishes.
+pub(super) fn apply_usage<W: Wire, C: Clock>(
     digest: &Digest,
     gateway: &Gateway<W, C>,
     now: Millis,
 ) {
-    let Some(news) = &digest.usage else { return };
+    let Some(updates) = &digest.usage else { return };
     let source = match digest.scope {
         Scope::Instance => Source::Instance { zone: digest.zone, number: digest.from },
         Scope::Zone(_) => Source::Zone(digest.zone),
         Scope::Far => return,
     };
-    gateway.usage().merge(source, news, now);
+    gateway.usage().merge(source, updates, now);
 }
--- a/crates/anvilhook-gateway/src/peers/watches.rs
+++ b/crates/anvilhook-gateway/src/peers/watches.rs
@@ -1,4 +1,5 @@
-//! The watch over a table: whether this instance keeps it, and what the others tell of it.
+//! The watch over a table: whether this instance reaches the table, and what its peers report of
+//! it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -14,22 +15,22 @@
 use super::rows::RowChanges;
 use super::versions::TableVersion;
 
-/// The most spans that wait to be taken in. More come only where the follower is held up, and then
-/// it asks the table.
+/// The maximum number of spans that wait to be applied. More arrive only while the follower is
+/// delayed, and then it queries the table.
 const MAX_WAITING: usize = 32;
 
-/// For how long the others are told that the table was away. Entries that lapsed meanwhile have a good
-/// two seconds to be back.
-const AWAY_NEWS: Millis = Millis(3_000);
+/// How long an outage of the table is published after its end. Entries that lapsed in it have a
+/// good two seconds to return.
+const AWAY_PUBLISH_TIME: Millis = Millis(3_000);
 
-/// `WatchState` is what an instance tells of its watch over a table.
+/// `WatchState` is the state of a watch over a table, as published to peers.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct WatchState {
-    /// The version of the newest change that it has read, or was told of.
+    /// The version of the newest change that the instance has read or received.
     pub newest: u64,
-    /// Whether it did not reach the table when it tried last.
+    /// Whether the instance failed to reach the table at its last attempt.
     pub is_unable: bool,
-    /// How long ago the table was last known to be away, if it was of late, in milliseconds.
+    /// How long ago the table was last known to be unreachable, if recently, in milliseconds.
     pub away_ms: Option<u32>,
 }
 
@@ -37,129 +38,129 @@
 #[derive(Debug, Default)]
 pub struct TableWatch {
     version: TableVersion,
-    /// Until when this instance counts as unable to reach the table.
+    /// The time until which this instance counts as unable to reach the table.
     unable_until: AtomicU64,
-    /// When the table was last known to be away; 0 if it never was.
+    /// When the table was last known to be unreachable; 0 if it never was.
     away_at: AtomicU64,
-    heard: Mutex<VecDeque<RowChanges>>,
-    to_tell: Mutex<Vec<RowChanges>>,
+    received: Mutex<VecDeque<RowChanges>>,
+    queued_rows: Mutex<Vec<RowChanges>>,
     mirror: Mutex<Mirror>,
-    /// Who has told of the newest change, while this instance does not know it.
-    newest_teller: Mutex<Option<SocketAddr>>,
-    /// Whom this instance asks for what it has missed.
-    to_ask: Mutex<Option<SocketAddr>>,
-    news: Notify,
+    /// The instance that has published the newest change, while this one does not have it.
+    newest_sender: Mutex<Option<SocketAddr>>,
+    /// The instance to request missed changes from.
+    resync_target: Mutex<Option<SocketAddr>>,
+    changed: Notify,
 }
 
 impl TableWatch {
-    /// Returns how far the instances have followed the table.
+    /// Returns the progress of the instances in following the table.
     pub fn version(&self) -> &TableVersion {
         &self.version
     }
 
-    /// Notes that this instance did not reach the table, with a call that it began at `began_at`.
+    /// Records that this instance did not reach the table with a call that began at `began_at`.
     pub fn record_failure(&self, began_at: Millis, now: Millis) {
         self.unable_until.store((now + UNREACHABLE_BACKOFF).0, Ordering::Release);
         self.away_at.fetch_max(began_at.0, Ordering::AcqRel);
     }
 
-    /// Notes that this instance has reached the table.
+    /// Records that this instance has reached the table.
     pub fn record_success(&self) {
         self.unable_until.store(0, Ordering::Release);
     }
 
-    /// Returns whether this instance did not reach the table when it tried last.
+    /// Returns whether this instance failed to reach the table at its last attempt.
     pub fn is_unable(&self, now: Millis) -> bool {
         now.0 < self.unable_until.load(Ordering::Acquire)
     }
 
-    /// Returns when the table was last known to be away, by this instance or another one.
+    /// Returns when this instance or another one last found the table unreachable.
     pub fn away_at(&self) -> Millis {
         Millis(self.away_at.load(Ordering::Acquire))
     }
 
-    /// Returns what the others are told: the newest change that this instance knows of, whether it has read
-    /// it or not.
+    /// Returns the state to publish. It carries the newest change that this instance knows of,
+    /// whether it has read it or not.
     ///
-    /// Where the table turns away the instances of a zone one after the other that would read it for the
-    /// rest, only the one that links the zone with others hears that there is a change. Each that hears of
-    /// it from that one asks the table itself.
+    /// If the table refuses one after the other the instances that would follow it for a zone, only
+    /// the zone leader learns of a change, from other zones. The instances that then learn of it
+    /// from the leader query the table themselves.
     pub fn state(&self, now: Millis) -> WatchState {
         let away_at = self.away_at();
-        let is_news = away_at > Millis::ZERO && now < away_at + AWAY_NEWS;
+        let is_recent = away_at > Millis::ZERO && now < away_at + AWAY_PUBLISH_TIME;
         WatchState {
             newest: self.version.own().max(self.version.announced()),
             is_unable: self.is_unable(now),
-            away_ms: is_news.then(|| (now - away_at).0 as u32),
+            away_ms: is_recent.then(|| (now - away_at).0 as u32),
         }
     }
 
-    /// Returns the table as it is known.
+    /// Returns the local copy of the table.
     pub fn mirror(&self) -> MutexGuard<'_, Mirror> {
         self.mirror.lock().expect("no panic under this lock")
     }
 
-    /// Takes in what the instance at an address tells.
-    pub fn merge(&self, from: SocketAddr, told: &WatchState, now: Millis) {
-        if self.version.record_announced(told.newest) {
-            *self.newest_teller.lock().expect("no panic under this lock") = Some(from);
+    /// Applies the watch state of the instance at an address.
+    pub fn merge(&self, from: SocketAddr, reported: &WatchState, now: Millis) {
+        if self.version.record_announced(reported.newest) {
+            *self.newest_sender.lock().expect("no panic under this lock") = Some(from);
         }
-        if let Some(away_ms) = told.away_ms {
+        if let Some(away_ms) = reported.away_ms {
             self.away_at.fetch_max((now - Millis(u64::from(away_ms))).0, Ordering::AcqRel);
         }
     }
 
-    /// Has the instance that told of the newest change asked for what this one has missed.
+    /// Requests the missed changes from the instance that published the newest one.
     pub fn request_resync(&self) {
-        let teller = *self.newest_teller.lock().expect("no panic under this lock");
-        *self.to_ask.lock().expect("no panic under this lock") = teller;
+        let sender = *self.newest_sender.lock().expect("no panic under this lock");
+        *self.resync_target.lock().expect("no panic under this lock") = sender;
     }
 
-    /// Takes whom to ask for what is missed, if anybody.
-    pub fn take_to_ask(&self) -> Option<SocketAddr> {
-        self.to_ask.lock().expect("no panic under this lock").take()
+    /// Takes the instance to request missed changes from, if any.
+    pub fn take_resync_target(&self) -> Option<SocketAddr> {
+        self.resync_target.lock().expect("no panic under this lock").take()
     }
 
-    /// Has the other instances of the availability zone told of rows.
+    /// Queues rows for the other instances of the availability zone.
     pub fn queue_rows(&self, rows: RowChanges) {
-        self.to_tell.lock().expect("no panic under this lock").push(rows);
+        self.queued_rows.lock().expect("no panic under this lock").push(rows);
     }
 
-    /// Takes what the others are to be told.
-    pub fn take_to_tell(&self) -> Vec<RowChanges> {
-        std::mem::take(&mut *self.to_tell.lock().expect("no panic under this lock"))
+    /// Takes the rows queued for other instances.
+    pub fn take_queued_rows(&self) -> Vec<RowChanges> {
+        std::mem::take(&mut *self.queued_rows.lock().expect("no panic under this lock"))
     }
 
-    /// Notes rows that another instance has read.
+    /// Records rows that another instance has read.
     pub fn receive_rows(&self, rows: RowChanges) {
         self.version.record_announced(rows.newest());
-        let mut heard = self.heard.lock().expect("no panic under this lock");
-        if heard.len() >= MAX_WAITING {
-            heard.pop_front();
+        let mut received = self.received.lock().expect("no panic under this lock");
+        if received.len() >= MAX_WAITING {
+            received.pop_front();
         }
-        heard.push_back(rows);
-        drop(heard);
-        self.news.notify_one();
+        received.push_back(rows);
+        drop(received);
+        self.changed.notify_one();
     }
 
-    /// Waits for rows that continue what is known up to version `known`. They come with only those
-    /// rows that are newer.
+    /// Waits for rows that continue the table from version `known`. Only rows newer than that are
+    /// returned.
     pub async fn next_rows(&self, known: u64) -> RowChanges {
         loop {
             if let Some(rows) = self.take_next(known) {
                 return rows;
             }
-            self.news.notified().await;
+            self.changed.notified().await;
         }
     }
 
     fn take_next(&self, known: u64) -> Option<RowChanges> {
-        let mut heard = self.heard.lock().expect("no panic under this lock");
-        let at = heard.iter().position(|rows| rows.span.fits(known) == Continuity::Next);
-        // What was told before it is known, or lies behind a gap that is filled from the table.
-        let next = at.and_then(|at| heard.drain(..=at).next_back());
+        let mut received = self.received.lock().expect("no panic under this lock");
+        let at = received.iter().position(|rows| rows.span.fits(known) == Continuity::Next);
+        // Earlier spans are already known, or follow a gap that is filled from the table.
+        let next = at.and_then(|at| received.drain(..=at).next_back());
         if next.is_none() {
-            heard.clear();
+            received.clear();
         }
         next.map(|mut next| {
             next.rows.retain(|row| row.version > known);
--- a/crates/anvilhook-gateway/src/peers/zones.rs
+++ b/crates/anvilhook-gateway/src/peers/zones.rs
@@ -1,9 +1,9 @@
-//! News between availability zones, which one instance of each tells.
+//! Exchanges updates between availability zones, through one leader of each zone.
 //!
-//! The load that this answers: hundreds of instances in several availability zones, where bytes between
-//! zones are dear. If each told each, such news would be a large part of what crosses. So one instance
-//! of each zone gathers what the zone has to tell, and tells one instance of each other zone, which
-//! tells its own.
+//! Load profile: hundreds of instances in several availability zones, where traffic between zones
+//! is expensive. If each instance sent to each, gossip would be a large part of that traffic. So
+//! the leader of each zone collects the updates of its zone and sends them to the leaders of the
+//! other zones, which send them to their own zones.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,76 +13,76 @@
 use tokio::net::UdpSocket;
 
 use super::Peers;
-use super::digests::{Digest, EngineLoad, Scope, near_loads, take_in};
-use super::gathering::CacheUpdates;
+use super::cache_updates::CacheUpdates;
+use super::digests::{Digest, EngineLoad, Scope, apply, near_loads};
 use super::notices::Notice;
+use super::publishing::{send, some_of};
 use super::suspects::MAX_SUSPECTS;
-use super::telling::{send, some_of};
 use super::usages::zone_usage;
 use crate::relay::Gateway;
 use crate::suspects::SuspectUpdate;
 use crate::wires::Wire;
 
-/// After how many ticks zones are told: what is told less often is too old to place requests by, and
-/// what is told more often costs bytes for each tick.
+/// The number of ticks between updates to other zones. Less frequent updates are too old to place
+/// requests by, and more frequent ones use bandwidth at each tick.
 const ZONE_TICKS: u32 = 2;
 
-/// How many tellings are left out at most while there is nothing to tell. An instance that tells for its
-/// zone must be known to run.
-const MAX_SILENT_TELLINGS: u32 = 4;
+/// The maximum number of rounds that are skipped while there are no updates. A zone's leader must
+/// be known to run.
+const MAX_SKIPPED_ROUNDS: u32 = 4;
 
-/// After how many tellings zones are told of usage.
-const USAGE_TELLINGS: u32 = 5;
+/// The number of rounds between publications of usage.
+const USAGE_ROUNDS: u32 = 5;
 
-/// How long a notice is told on, so that one lost datagram does not lose it.
+/// How long a notice is repeated, so that it survives the loss of a datagram.
 const NOTICE_AGE: Millis = Millis(300);
 
-/// How long an instance that has told for its zone is taken to do so.
-const TELLER_AGE: Millis = Millis(1_500);
+/// How long the last known leader of a zone is assumed to lead it.
+const LEADER_MAX_AGE: Millis = Millis(1_500);
 
-/// How many instances of a zone are told if none is known to tell for it.
-const GUESSED_TELLERS: usize = 2;
+/// The number of instances of a zone that receive updates if its leader is unknown.
+const GUESSED_LEADERS: usize = 2;
 
-/// The most digests at a time that tell what engines have read.
+/// The maximum number of digests with cached prompts in one round.
 const MAX_CACHED_DIGESTS: usize = 4;
 
-/// `ZoneLink` is what this instance tells other availability zones, and its own of them, if it is the one
-/// to do so.
+/// `ZoneLink` exchanges updates with other availability zones while this instance is the leader of
+/// its own.
 pub(super) struct ZoneLink {
     rng: ChaCha8Rng,
     own: SocketAddr,
     far: HashMap<u32, FarZone>,
-    /// What its own zone has to tell, and what other zones have told.
-    outgoing: News,
-    incoming: News,
+    /// The updates from this zone to others, and from other zones to this one.
+    outgoing: PendingUpdates,
+    incoming: PendingUpdates,
     ticks: u32,
-    silent: u32,
+    skipped_rounds: u32,
     had_far_loads: bool,
 }
 
 /// `FarZone` is another availability zone.
 struct FarZone {
-    /// The instance that tells for it.
-    teller: SocketAddr,
-    heard_at: Millis,
+    /// The leader of the zone.
+    leader: SocketAddr,
+    received_at: Millis,
     loads: Vec<EngineLoad>,
 }
 
 impl FarZone {
-    fn told_by(teller: SocketAddr) -> Self {
-        Self { teller, heard_at: Millis::ZERO, loads: Vec::new() }
+    fn led_by(leader: SocketAddr) -> Self {
+        Self { leader, received_at: Millis::ZERO, loads: Vec::new() }
     }
 }
 
-/// `News` is what is to be told on.
+/// `PendingUpdates` collects updates that are to be forwarded.
 #[derive(Default)]
-struct News {
+struct PendingUpdates {
     cached: CacheUpdates,
     notices: Vec<(Millis, Notice)>,
     suspects: Vec<(Millis, SuspectUpdate)>,
 }
 
-impl News {
+impl PendingUpdates {
     fn collect(&mut self, digest: &Digest, now: Millis) {
         digest.cached.iter().for_each(|cached| self.cached.add(cached));
         for notice in &digest.notices {
@@ -98,20 +98,20 @@
         }
     }
 
-    /// Returns the suspects that are still told of.
+    /// Returns the suspect updates that are still repeated.
     fn suspects(&mut self, now: Millis) -> Vec<SuspectUpdate> {
-        self.suspects.retain(|(heard_at, _)| *heard_at + NOTICE_AGE > now);
-        self.suspects.iter().map(|(heard_at, news)| news.after(now - *heard_at)).collect()
+        self.suspects.retain(|(received_at, _)| *received_at + NOTICE_AGE > now);
+        self.suspects.iter().map(|(received_at, news)| news.after(now - *received_at)).collect()
     }
 
-    /// Returns the notices that are still told.
+    /// Returns the notices that are still repeated.
     fn notices(&mut self, now: Millis) -> Vec<Notice> {
-        self.notices.retain(|(heard_at, _)| *heard_at + NOTICE_AGE > now);
-        self.notices.iter().map(|(heard_at, notice)| notice.after(now - *heard_at)).collect()
+        self.notices.retain(|(received_at, _)| *received_at + NOTICE_AGE > now);
+        self.notices.iter().map(|(received_at, notice)| notice.after(now - *received_at)).collect()
     }
 
-    /// Takes the prompts to be told of, as many digests as they need, and returns those and the digest
-    /// of all else, in which `loads` goes.
+    /// Takes the cached prompts, as the digests that they need, and returns these and the digest of
+    /// everything else, which includes `loads`.
     fn digests(
         &mut self,
         scope: Scope,
@@ -130,51 +130,53 @@
 }
 
 impl ZoneLink {
-    /// Makes a link that knows of no other zone. `own` is this instance's address.
+    /// Creates a link that knows no other zone. `own` is this instance's address.
     pub fn new(rng: ChaCha8Rng, own: SocketAddr) -> Self {
         Self {
             rng,
             own,
             far: HashMap::new(),
-            outgoing: News::default(),
-            incoming: News::default(),
+            outgoing: PendingUpdates::default(),
+            incoming: PendingUpdates::default(),
             ticks: 0,
-            silent: 0,
+            skipped_rounds: 0,
             had_far_loads: false,
         }
     }
 
-    /// Notes what an instance of the own zone tells, or this one.
+    /// Collects the updates in a digest of this instance or of another one in its zone.
     pub fn collect(&mut self, digest: &Digest, now: Millis) {
         self.outgoing.collect(digest, now);
     }
 
-    /// Takes in what another zone tells, or passes it to the instance that should have been told.
-    pub fn hear<W: Wire, C: Clock>(
+    /// Records a digest of another zone. If this instance is not the leader, it forwards the digest
+    /// to the leader.
+    pub fn receive<W: Wire, C: Clock>(
         &mut self,
         digest: &Digest,
-        teller: SocketAddr,
+        leader: SocketAddr,
         from: SocketAddr,
         socket: &UdpSocket,
         gateway: &Gateway<W, C>,
         now: Millis,
     ) {
         let peers = gateway.peers();
-        peers.hear_zone(digest.zone, now);
-        let far = self.far.entry(digest.zone).or_insert_with(|| FarZone::told_by(teller));
-        (far.teller, far.heard_at) = (teller, now);
+        peers.record_zone_leader(digest.zone, now);
+        let far = self.far.entry(digest.zone).or_insert_with(|| FarZone::led_by(leader));
+        (far.leader, far.received_at) = (leader, now);
         if !digest.is_partial {
             far.loads.clone_from(&digest.loads);
         }
-        match peers.zone_teller(now) {
+        match peers.zone_leader(now) {
             None => self.incoming.collect(digest, now),
-            // Passed on once: what came from an instance of the own zone has been.
-            Some(own) if from == teller => send(digest, &[own], socket, gateway),
+            // Forwarded only once: a digest that did not come directly from its sender has been
+            // forwarded.
+            Some(own_leader) if from == leader => send(digest, &[own_leader], socket, gateway),
             Some(_) => {}
         }
     }
 
-    /// Tells what there is to tell, if it is time and this instance's part.
+    /// Publishes pending updates if the interval has passed and this instance is the zone leader.
     pub fn tick<W: Wire, C: Clock>(
         &mut self,
         socket: &UdpSocket,
@@ -182,21 +184,21 @@
         now: Millis,
     ) {
         let peers = gateway.peers();
-        if peers.is_full_mesh() || peers.zone_teller(now).is_some() {
-            (self.outgoing, self.incoming) = (News::default(), News::default());
+        if peers.is_full_mesh() || peers.zone_leader(now).is_some() {
+            (self.outgoing, self.incoming) = (PendingUpdates::default(), PendingUpdates::default());
             return;
         }
         self.ticks += 1;
         if self.ticks.is_multiple_of(ZONE_TICKS) {
-            self.tell_zones(socket, gateway, now);
-            if self.ticks.is_multiple_of(ZONE_TICKS * USAGE_TELLINGS) {
-                self.tell_usage(socket, gateway, now);
+            self.publish_to_zones(socket, gateway, now);
+            if self.ticks.is_multiple_of(ZONE_TICKS * USAGE_ROUNDS) {
+                self.publish_usage(socket, gateway, now);
             }
-            self.tell_own_zone(socket, gateway, now);
+            self.publish_to_own_zone(socket, gateway, now);
         }
     }
 
-    fn tell_zones<W: Wire, C: Clock>(
+    fn publish_to_zones<W: Wire, C: Clock>(
         &mut self,
         socket: &UdpSocket,
         gateway: &Gateway<W, C>,
@@ -207,21 +209,21 @@
         let (cached, digest) = self.outgoing.digests(scope, loads, peers, now);
         let has_findings = !digest.notices.is_empty() || !digest.suspects.is_empty();
         let has_news = !digest.loads.is_empty() || !cached.is_empty() || has_findings;
-        if !has_news && self.silent < MAX_SILENT_TELLINGS {
-            self.silent += 1;
+        if !has_news && self.skipped_rounds < MAX_SKIPPED_ROUNDS {
+            self.skipped_rounds += 1;
             return;
         }
-        self.silent = 0;
+        self.skipped_rounds = 0;
         for zone in peers.far_zones() {
-            let addresses = self.tellers_of(zone, peers, now);
+            let addresses = self.leaders_of(zone, peers, now);
             for digest in cached.iter().chain([&digest]) {
                 send(digest, &addresses, socket, gateway);
             }
         }
     }
 
-    /// Tells other zones how many requests of client accounts this one has counted.
-    fn tell_usage<W: Wire, C: Clock>(
+    /// Sends the request counts of this zone's client accounts to other zones.
+    fn publish_usage<W: Wire, C: Clock>(
         &mut self,
         socket: &UdpSocket,
         gateway: &Gateway<W, C>,
@@ -230,22 +232,22 @@
         let peers = gateway.peers();
         let digests = zone_usage(gateway, Scope::Zone(self.own), now);
         for zone in peers.far_zones() {
-            let addresses = self.tellers_of(zone, peers, now);
+            let addresses = self.leaders_of(zone, peers, now);
             for digest in &digests {
                 send(digest, &addresses, socket, gateway);
             }
         }
     }
 
-    /// Returns the address of the instance that tells for a zone, or of some that may.
-    fn tellers_of(&mut self, zone: u32, peers: &Peers, now: Millis) -> Vec<SocketAddr> {
-        match self.far.get(&zone).filter(|far| far.heard_at + TELLER_AGE > now) {
-            Some(far) => vec![far.teller],
-            None => some_of(peers.instances_of(zone), GUESSED_TELLERS, &mut self.rng),
+    /// Returns the address of a zone's leader, or of a few instances of the zone if it is unknown.
+    fn leaders_of(&mut self, zone: u32, peers: &Peers, now: Millis) -> Vec<SocketAddr> {
+        match self.far.get(&zone).filter(|far| far.received_at + LEADER_MAX_AGE > now) {
+            Some(far) => vec![far.leader],
+            None => some_of(peers.instances_of(zone), GUESSED_LEADERS, &mut self.rng),
         }
     }
 
-    fn tell_own_zone<W: Wire, C: Clock>(
+    fn publish_to_own_zone<W: Wire, C: Clock>(
         &mut self,
         socket: &UdpSocket,
         gateway: &Gateway<W, C>,
@@ -257,7 +259,7 @@
         let zone_peers = peers.zone_peers(now);
         for digest in cached {
             send(&digest, &zone_peers, socket, gateway);
-            take_in(&digest, self.own, gateway, now);
+            apply(&digest, self.own, gateway, now);
         }
         let has_loads = !digest.loads.is_empty();
         let has_news = has_loads || !digest.notices.is_empty() || !digest.suspects.is_empty();
@@ -266,13 +268,13 @@
         }
         self.had_far_loads = has_loads;
         send(&digest, &zone_peers, socket, gateway);
-        take_in(&digest, self.own, gateway, now);
+        apply(&digest, self.own, gateway, now);
     }
 
-    /// Returns what all other zones together have in flight.
+    /// Returns the total loads of all other zones.
     fn far_loads(&self, now: Millis) -> Vec<EngineLoad> {
         let mut loads: HashMap<u32, EngineLoad> = HashMap::new();
-        let current = self.far.values().filter(|far| far.heard_at + TELLER_AGE > now);
+        let current = self.far.values().filter(|far| far.received_at + LEADER_MAX_AGE > now);
         for load in current.flat_map(|far| &far.loads) {
             let sum = loads.entry(load.engine).or_insert_with(|| EngineLoad::none_at(load.engine));
             sum.add(load);
