--- a/crates/anvilhook-gateway/src/entries.rs
+++ b/crates/anvilhook-gateway/src/entries.rs
@@ -1,4 +1,4 @@
-//! The upstreams' entries, through lapses and old reports.
+//! Tracks the upstreams' entries through lapses and old reports.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -7,26 +7,26 @@
 
 use crate::fleets::Entry;
 
-/// How long after the table's return an entry that lapsed may take to be back.
+/// How long after the table becomes reachable again a lapsed entry may take to return.
 const LAPSE_GRACE: Millis = Millis(2_200);
 
-/// How long after the last moment at which the table was known to be away an entry that lapsed may
-/// take to be back. The return is noticed a second late if a call was sent just before it, and an
-/// upstream that left meanwhile would get work for as much longer.
+/// How long after the table was last known to be unreachable a lapsed entry may take to return. The
+/// end of an outage is noticed a second late if a call was sent just before it, and an upstream
+/// that left meanwhile would get work for that much longer.
 const LAPSE_BOUND: Millis = Millis(2_700);
 
-/// `Tombstone` is what is remembered of an entry that was removed.
+/// `Tombstone` is the record of a removed entry.
 #[derive(Clone, Copy, Debug)]
 struct Tombstone {
-    /// The reports up to this one, by start and number, are old.
+    /// The newest report, by start and number, that counts as old.
     order: (Option<u64>, u64),
     removed_at: Millis,
 }
 
-/// How long a removed entry's number is remembered.
+/// How long a removed entry's tombstone is retained.
 const TOMBSTONE_AGE: Millis = Millis::from_secs(120);
 
-/// `EntryRegistry` keeps the upstreams' entries through lapses and old reports.
+/// `EntryRegistry` stores the upstreams' entries through lapses and old reports.
 #[derive(Debug, Default)]
 pub struct EntryRegistry {
     entries: HashMap<Arc<str>, Entry>,
@@ -36,34 +36,34 @@
 }
 
 impl EntryRegistry {
-    /// Makes an empty book.
+    /// Creates an empty registry.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the entries that count now.
+    /// Returns the current entries.
     pub fn entries(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// Notes that the table is reached again. Entries may have lapsed because their upstreams
-    /// could not report meanwhile; they are given time to be back.
+    /// Records that the table is reachable again. Entries may have lapsed because their upstreams
+    /// could not report meanwhile; they get a grace period to return.
     pub fn regained(&mut self, now: Millis) {
         self.grace_until = now + LAPSE_GRACE;
     }
 
-    /// Notes when the table was last known to be away. Entries have time to be back only until a
-    /// while after that.
+    /// Limits the grace period for lapsed entries by the time at which the table was last known to
+    /// be unreachable.
     pub fn bound_grace(&mut self, last_unreachable_at: Millis) {
         self.grace_until = self.grace_until.min(last_unreachable_at + LAPSE_BOUND);
     }
 
-    /// Takes an entry in. Returns whether it changes what counts.
+    /// Adds or updates an entry. Returns whether the current entries change.
     ///
-    /// A report that was held up on its way may arrive after a newer one, or after the entry's
-    /// end. It would bring back an upstream that is leaving or gone, and requests would be sent
-    /// there. So an older report changes nothing, and leaving is never taken back, but for a later
-    /// start under the same id: its numbers begin anew, and it has not been told to leave.
+    /// A delayed report may arrive after a newer one, or after the entry was removed. It would
+    /// restore an upstream that is leaving or gone, and requests would be sent there. So an older
+    /// report changes nothing, and leaving is never undone, except by a later start with the same
+    /// id: its numbers begin again, and it has not been ordered to leave.
     pub fn put(&mut self, mut entry: Entry) -> bool {
         let id = Arc::clone(&entry.id);
         if self.removed.get(&id).is_some_and(|removed| entry.order() <= removed.order) {
@@ -80,7 +80,7 @@
         self.entries.insert(id, entry.clone()) != Some(entry)
     }
 
-    /// Takes the removal of an entry in. Returns whether it changes what counts.
+    /// Removes an entry. Returns whether the current entries change.
     pub fn remove(&mut self, id: &str, now: Millis) -> bool {
         let Some((id, entry)) = self.entries.get_key_value(id) else { return false };
         let id = Arc::clone(id);
@@ -92,8 +92,8 @@
         true
     }
 
-    /// Takes in that a row can no longer be read, so that it names no upstream. Returns whether
-    /// that changes what counts. The upstream's own next report brings it back.
+    /// Removes an entry because its row can no longer be decoded. Returns whether the current
+    /// entries change. The upstream's own next report restores it.
     pub fn discard(&mut self, id: &str, now: Millis) -> bool {
         self.lapsed.remove(id);
         let Some(entry) = self.entries.remove(id) else { return false };
@@ -102,7 +102,7 @@
         true
     }
 
-    /// Takes in all rows as of one moment: what is missing was removed.
+    /// Applies a full scan: entries that are missing from it were removed.
     pub fn reset(&mut self, entries: Vec<Entry>, now: Millis) -> bool {
         let missing: Vec<_> = self.entries.keys().cloned().collect();
         let listed: Vec<_> = entries.iter().map(|entry| Arc::clone(&entry.id)).collect();
@@ -116,7 +116,8 @@
         has_changed
     }
 
-    /// Drops what has not come back in time. Returns whether it changes what counts.
+    /// Drops lapsed entries that have not returned in time. Returns whether the current entries
+    /// change.
     pub fn expire(&mut self, now: Millis) -> bool {
         self.removed.retain(|_, removed| removed.removed_at + TOMBSTONE_AGE > now);
         let due: Vec<_> = self.lapsed.iter().filter(|(_, until)| **until <= now).collect();
@@ -128,7 +129,7 @@
         !due.is_empty()
     }
 
-    /// Returns when `expire` has something to do, if ever.
+    /// Returns when the next lapsed entry expires, if any.
     pub fn next_expiry(&self) -> Option<Millis> {
         self.lapsed.values().min().copied()
     }
--- a/crates/anvilhook-gateway/src/fleets.rs
+++ b/crates/anvilhook-gateway/src/fleets.rs
@@ -1,4 +1,4 @@
-//! The upstreams: what their entries say, and what this instance has learnt of each.
+//! The fleet of upstreams: their listed entries, and what this instance has observed of each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,23 +11,23 @@
 use crate::hashes::hash_of;
 use crate::loads::UpstreamState;
 
-/// `Entry` is an upstream as it is listed.
+/// `Entry` is an upstream as listed in the upstream table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Entry {
-    /// The upstream's id. An upstream may start again under the id that it had.
+    /// The upstream's id. A restarted upstream may have the same id.
     pub id: Arc<str>,
-    /// When this start of the upstream was, in Unix milliseconds of its own clock, if it says so.
-    /// A later start of the same id holds and knows nothing of the earlier one.
+    /// When this start of the upstream was, in Unix milliseconds of its own clock, if it reports
+    /// so. A later start with the same id retains nothing of the earlier one's state.
     pub born: Option<u64>,
     /// Its service.
     pub service: Arc<str>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: Arc<str>,
-    /// The stage that it takes, if it is a model engine.
+    /// The role that it has, if it is a model engine.
     pub role: Option<Role>,
-    /// How many requests it runs at once.
+    /// The number of requests that it runs concurrently.
     pub slots: u32,
     /// Whether it may be reclaimed at any time.
     pub reclaimable: bool,
@@ -38,61 +38,61 @@
 }
 
 impl Entry {
-    /// Returns the entry's place among all reports of its id: by start first, then by number.
+    /// Returns the entry's position among all reports of its id: by start first, then by number.
     ///
     /// A report without a start is older than any with one.
     pub fn order(&self) -> (Option<u64>, u64) {
         (self.born, self.sequence)
     }
 
-    /// Returns whether two entries of one id are of the same start. One without a start is older than
-    /// any with one, as in [`order`](Self::order).
+    /// Returns whether two entries of one id belong to the same start. An entry without a start
+    /// counts as older than any with one, as in [`order`](Self::order).
     pub fn is_same_start(&self, other: &Entry) -> bool {
         self.born == other.born
     }
 
-    /// Returns whether `born`, which the upstream itself tells, is another start than the listed one.
+    /// Returns whether `born`, as reported by the upstream itself, differs from the listed start.
     ///
-    /// Only two known starts can differ. Where a deployment's reports name the start and its entries
-    /// don't, each answer of a sound engine would else be taken for another start's: no order would
-    /// be given, and each silent stream be taken for lost.
+    /// Only two known starts can differ. Where a deployment's reports contain the start and its
+    /// entries don't, each answer of a healthy engine would otherwise be attributed to another
+    /// start: no order would be given, and each stream that pauses would be taken for lost.
     pub fn has_other_start(&self, born: Option<u64>) -> bool {
         self.born.zip(born).is_some_and(|(listed, reported)| listed != reported)
     }
 
-    /// Returns the short form of the id and the start that instances use among themselves. What is
-    /// told of an earlier start is not taken for the later one's.
+    /// Returns the hash of the id and the start, by which instances identify the upstream among
+    /// themselves. Updates about an earlier start are not applied to a later one.
     pub fn digest(&self) -> u32 {
         hash_of(&(&*self.id, self.born)) as u32
     }
 }
 
-/// `Upstream` is a listed upstream with what is known of it.
+/// `Upstream` is a listed upstream with its observed state.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// What its entry says.
+    /// Its listed entry.
     pub entry: Entry,
-    /// The short form of its id and start that instances use among themselves.
+    /// The hash of its id and start, by which instances identify it among themselves.
     pub digest: u32,
-    /// What this instance has learnt.
+    /// What this instance has observed.
     pub state: Arc<UpstreamState>,
 }
 
 impl Upstream {
-    /// Returns the role that it has if it is a model engine: the listed one, unless it has shown another
-    /// one since.
+    /// Returns the role of a model engine: the listed one, unless the engine has shown another one
+    /// since.
     pub fn role(&self) -> Option<Role> {
         let listed = self.entry.role?;
         let observed = self.state.observed_role(self.entry.sequence);
         Some(observed.map_or(listed, |observed| observed.role))
     }
 
-    /// Returns whether it is leaving or gone, by whatever has told so.
+    /// Returns whether it is leaving or gone, according to any source.
     pub fn is_leaving(&self) -> bool {
         self.entry.draining || self.state.is_gone() || self.state.says_leaving()
     }
 
-    /// Returns whether new work may be sent there.
+    /// Returns whether it accepts new work.
     pub fn takes_work(&self, now: Millis) -> bool {
         let state = &self.state;
         let is_absent = state.is_away(now) || state.role_change(now, self.role()).is_some();
@@ -100,22 +100,22 @@
     }
 }
 
-/// `FleetView` is all listed upstreams at one moment.
+/// `FleetView` is a snapshot of all listed upstreams.
 #[derive(Debug, Default)]
 pub struct FleetView {
     by_id: HashMap<Arc<str>, Arc<Upstream>>,
     by_service: HashMap<Arc<str>, Vec<Arc<Upstream>>>,
     by_digest: HashMap<u32, Arc<Upstream>>,
-    /// Upstreams that are listed no more and of which something is known that outlives a lapse of their
-    /// entries, the latest last.
+    /// Upstreams that are no longer listed, but whose state outlives a lapse of their entries; the
+    /// latest is last.
     former: Vec<Arc<Upstream>>,
 }
 
-/// The most upstreams that are remembered after their entries have gone.
+/// The maximum number of upstreams that are remembered after their entries have been removed.
 const MAX_FORMER: usize = 1_024;
 
 impl FleetView {
-    /// Returns an upstream by the short form of its id and start.
+    /// Returns an upstream by the hash of its id and start.
     pub fn by_digest(&self, digest: u32) -> Option<&Arc<Upstream>> {
         self.by_digest.get(&digest)
     }
@@ -125,12 +125,12 @@
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Returns an upstream.
+    /// Returns an upstream by its id.
     pub fn get(&self, id: &str) -> Option<&Arc<Upstream>> {
         self.by_id.get(id)
     }
 
-    /// Returns what is known of an entry's start, if it was listed before.
+    /// Returns the state of an entry's start, if it was listed before.
     fn state_of(&self, entry: &Entry) -> Option<Arc<UpstreamState>> {
         let is_same =
             |one: &&Arc<Upstream>| one.entry.id == entry.id && one.entry.is_same_start(entry);
@@ -139,7 +139,7 @@
         known.map(|one| Arc::clone(&one.state))
     }
 
-    /// Returns the upstreams that are to be remembered once `next` is listed in this view's place.
+    /// Returns the upstreams to remember once `next` replaces this view.
     fn former_after(&self, next: &FleetView) -> Vec<Arc<Upstream>> {
         let gone = self.by_id.values().filter(|one| one.state.is_lasting());
         let all = self.former.iter().chain(gone);
@@ -155,32 +155,32 @@
     }
 }
 
-/// `Fleet` holds the newest view; a request reads it without a lock.
+/// `Fleet` holds the newest view, which requests read without a lock.
 #[derive(Debug, Default)]
 pub struct Fleet {
     view: ArcSwap<FleetView>,
 }
 
 impl Fleet {
-    /// Makes a fleet without upstreams.
+    /// Creates a fleet without upstreams.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Returns the newest view. It must not be carried over a wait: an upstream that begins to
+    /// Returns the newest view. It must not be retained across a wait: an upstream that begins to
     /// leave meanwhile would get new work.
     pub fn view(&self) -> Arc<FleetView> {
         self.view.load_full()
     }
 
-    /// Returns whether new work may be sent to an upstream by what is believed now.
+    /// Returns whether an upstream accepts new work, by the current view.
     pub fn takes_work(&self, id: &str, now: Millis) -> bool {
         self.view.load().get(id).is_some_and(|upstream| upstream.takes_work(now))
     }
 
-    /// Puts the listed entries in place of the earlier ones, and returns those. Upstreams that stay
-    /// keep their state; one that has started again begins with none. What an upstream has told of itself
-    /// is kept beyond its entry, which may lapse and come back while the upstream goes on.
+    /// Replaces the listed entries, and returns the earlier view. Upstreams that stay retain their
+    /// state; one that has restarted begins with none. What an upstream has reported of itself is
+    /// retained beyond its entry, which may lapse and return while the upstream continues to run.
     pub fn replace(&self, entries: impl IntoIterator<Item = Entry>) -> Arc<FleetView> {
         let earlier = self.view.load_full();
         let mut view = FleetView::default();
--- a/crates/anvilhook-gateway/src/followers/configs.rs
+++ b/crates/anvilhook-gateway/src/followers/configs.rs
@@ -1,4 +1,4 @@
-//! Following the configuration.
+//! Follows the configuration.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 use crate::tables::Row;
 use crate::wires::Wire;
 
-/// The configuration as a belief, as metrics name it.
+/// The label of the configuration as a source of cached state in metrics.
 const CONFIG_SOURCE: &str = "config";
 
-/// `ConfigFollower` puts each newer configuration in force.
+/// `ConfigFollower` applies each newer configuration to the gateway.
 pub struct ConfigFollower<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     unreadable: UnreadableRows,
 }
 
 impl<W: Wire, C: Clock> ConfigFollower<W, C> {
-    /// Makes a follower that knows no configuration.
+    /// Creates a follower that has no configuration yet.
     pub fn new(gateway: Gateway<W, C>) -> Self {
         Self { gateway, unreadable: UnreadableRows::default() }
     }
--- a/crates/anvilhook-gateway/src/followers/entries.rs
+++ b/crates/anvilhook-gateway/src/followers/entries.rs
@@ -1,4 +1,4 @@
-//! Following the upstreams' entries.
+//! Follows the upstreams' entries.
 
 use std::sync::Arc;
 
@@ -13,13 +13,13 @@
 use crate::wires::Wire;
 
 /// The pause after changed entries, in which further changes gather. Upstreams that start together
-/// would otherwise cost a call each, and every call has its price.
+/// would otherwise cost a call each, and every call has a price.
 const GATHER_TIME: Millis = Millis(250);
 
-/// The list of upstreams as a belief, as metrics name it.
+/// The label of the upstream table as a source of cached state in metrics.
 pub(crate) const LIST_SOURCE: &str = "list";
 
-/// `EntryFollower` keeps the gateway's fleet by the listed entries.
+/// `EntryFollower` updates the gateway's fleet from the listed entries.
 pub struct EntryFollower<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     clock: C,
@@ -28,7 +28,7 @@
 }
 
 impl<W: Wire, C: Clock> EntryFollower<W, C> {
-    /// Makes a follower that knows no entries.
+    /// Creates a follower that has no entries yet.
     pub fn new(gateway: Gateway<W, C>, clock: C) -> Self {
         Self { gateway, clock, registry: Arc::default(), unreadable: UnreadableRows::default() }
     }
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Has the lapsed entries expire on time, also while no change comes in. Each has a time of its own:
-    /// after the first, the next one is waited for.
+    /// Schedules the expiry of lapsed entries, which must happen on time even if no change arrives.
+    /// Each entry has its own expiry time, so the task waits for one after the other.
     fn expire_later(&self) {
         let (clock, gateway) = (self.clock.clone(), self.gateway.clone());
         let registry = Arc::clone(&self.registry);
@@ -89,8 +89,8 @@
         }
         self.unreadable.retain(rows);
         let mut registry = self.registry.lock().expect("no panic under this lock");
-        // Such a row is not gone: the upstream's own report of the same number brings it back, and no
-        // time passes until the row names nobody.
+        // Such a row is discarded, not removed: the upstream's own report with the same number
+        // restores it, and unlike a removal it takes effect without a grace period.
         for key in unreadable {
             registry.discard(key, now);
         }
--- a/crates/anvilhook-gateway/src/followers/following.rs
+++ b/crates/anvilhook-gateway/src/followers/following.rs
@@ -1,4 +1,4 @@
-//! One table as it is followed: by calls of this instance, or by what another one tells.
+//! Follows one table, by calls of this instance or by the rows that another instance publishes.
 
 use std::sync::Arc;
 
@@ -10,48 +10,50 @@
 use crate::peers::{FollowedTable, Peers, RowChanges, TableWatch};
 use crate::tables::{Rows, Table, TableError};
 
-/// How long a call waits while the table is away. A call that was sent into the outage hears nothing
-/// even after its end, and what changed meanwhile would be in force late by the whole of its wait.
+/// How long a call waits while the table is unreachable. A call sent during the outage gets no
+/// response even after its end, so with a wait, changes made meanwhile would be applied late by the
+/// whole of it.
 const NO_WAIT: Millis = Millis::ZERO;
 
-/// How long after a peer has changes of a change an instance waits to hear of it by its own call, or by
-/// the instance that follows the table for it, which may be gathering changes at that moment.
+/// How long after a peer has published a change an instance waits to receive it by its own call, or
+/// from the instance that follows the table for it, which may be gathering changes at that moment.
 const GAP_WAIT: Millis = Millis(400);
 
-/// How often an instance that has missed a change asks whoever changes of it, before it asks the table, and
-/// how long it waits for each answer.
+/// How often an instance that has missed a change requests it from the peer that published it
+/// before it queries the table, and how long it waits for each response.
 const MAX_PEER_REQUESTS: u32 = 3;
 const PEER_RESPONSE_WAIT: Millis = Millis(150);
 
-/// How often an instance that is changes of rows looks whether it is now to follow the table itself.
+/// The interval at which an instance that receives rows from peers checks whether it must now
+/// follow the table itself.
 const CHECK_INTERVAL: Millis = Millis(200);
 
-/// The pause after a failed call; it grows to the second figure.
+/// The pause after a failed call, which grows from the first to the second value.
 const FIRST_PAUSE: Millis = Millis(50);
 const LONGEST_PAUSE: Millis = Millis(400);
 
-/// How long an instance waits after its first reading until it follows the table itself. By then it has
-/// heard the others, and knows whether one of them does.
+/// How long an instance waits after its first read until it follows the table itself. By then it
+/// has received digests from the others, and knows whether one of them follows the table.
 const SETTLE_TIME: Millis = Millis(600);
 
-/// `Read` is what is new of a table.
+/// `Read` is new content of a table.
 enum Read {
-    /// All of it, by a call of this instance.
+    /// All rows, read by this instance.
     Whole(Rows),
-    /// What has changed, by a call of this instance.
+    /// Changed rows, read by this instance.
     Changes(Rows),
-    /// What has changed, as another instance tells.
+    /// Changed rows, published by another instance.
     FromPeer(RowChanges),
 }
 
-/// `Outage` is a time in which the table can't be reached.
+/// `Outage` is a period in which the table can't be reached.
 struct Outage {
     began_at: Millis,
-    /// When the last call was sent that brought no answer. It says nothing of the time after.
+    /// When the last call that got no response was sent. It is no evidence for any later time.
     last_unreachable_at: Millis,
 }
 
-/// `Following` is how far a table has been followed, and how.
+/// `Following` is the progress and the method of following a table.
 pub(super) struct Following<T, F, C> {
     table: T,
     clock: C,
@@ -59,15 +61,16 @@
     follower: F,
     peers: Arc<Peers>,
     shared: FollowedTable,
-    /// Whether the table must be read whole.
+    /// Whether a full scan of the table is needed.
     needs_full_read: bool,
     outage: Option<Outage>,
-    /// When the table was last away, as the follower knows it.
-    recorded_away: Millis,
+    /// When the table was last unreachable, as reported to the follower.
+    reported_away_at: Millis,
     pause: Millis,
     /// When the last call of this instance was sent.
     called_at: Millis,
-    /// Whether what came last came by such a call, so that its connection is known to be sound.
+    /// Whether the last content came from such a call, so that its connection is known to be
+    /// healthy.
     was_own: bool,
 }
 
@@ -83,14 +86,14 @@
             shared,
             needs_full_read: true,
             outage: None,
-            recorded_away: Millis::ZERO,
+            reported_away_at: Millis::ZERO,
             pause: FIRST_PAUSE,
             called_at: Millis::ZERO,
             was_own: false,
         }
     }
 
-    /// Reads what is new, and takes it in.
+    /// Reads new content, and applies it.
     pub async fn step(&mut self) {
         let read = if self.needs_full_read {
             self.called_at = self.clock.now();
@@ -121,7 +124,7 @@
         self.peers.follows(self.shared, self.clock.now())
     }
 
-    /// Waits for what comes next.
+    /// Waits for the next content.
     async fn next(&mut self) -> Result<Read, TableError> {
         while !self.is_chosen() {
             self.was_own = false;
@@ -130,30 +133,31 @@
             }
         }
         if !self.was_own {
-            // Of many instances each would else try at once where the ones before it have failed.
+            // Otherwise many instances would each try at once where the previous ones have failed.
             let away_for = self.clock.now() - self.watch().away_at();
             tokio::time::sleep((LONGEST_PAUSE - away_for).as_duration()).await;
         }
-        // A call that waits would hide for as long that the connection to the table is broken.
+        // A waiting call would hide for as long that the connection to the table is broken.
         let is_connection_healthy = self.was_own && self.outage.is_none();
         self.was_own = true;
         if is_connection_healthy { self.next_change().await } else { self.query_table().await }
     }
 
-    /// Asks the table what has changed until now.
+    /// Queries the table for the changes until now.
     async fn query_table(&mut self) -> Result<Read, TableError> {
         self.called_at = self.clock.now();
         let announced = self.watch().version().announced();
         let rows = self.table.changes(self.follower.table(), self.known(), NO_WAIT).await?;
-        // What lies behind the rows that came is still to be queried for, but not what nobody can read.
+        // Versions after the returned rows are still to be queried, but not one that no instance
+        // can read.
         let queried = if rows.rows.is_empty() { announced } else { announced.min(rows.version) };
         self.watch().version().record_queried(queried);
         Ok(Read::Changes(rows))
     }
 
-    /// Waits for what another instance tells; `None` if nothing has come for a while, and this one is to
-    /// follow the table itself. Whoever learns that it has missed something asks for it, first whoever
-    /// changes of it and then the table.
+    /// Waits for rows published by another instance; `None` if this instance must now follow the
+    /// table itself. An instance that learns that it has missed changes requests them from the peer
+    /// that published them, and then queries the table.
     async fn next_from_peers(&mut self) -> Option<Result<Read, TableError>> {
         let known = self.known();
         let watch = self.watch();
@@ -179,9 +183,9 @@
         Some(self.query_table().await)
     }
 
-    /// Waits for changes by a call of this instance. The wait is broken off if a peer knows of a change
-    /// of which the call brings no word: its connection may have gone silent, and the table is then
-    /// queried over another one.
+    /// Waits for changes by a call of this instance. The wait is aborted if a peer knows of a
+    /// change that the call does not return: its connection may have stopped responding, and the
+    /// table is then queried over another one.
     async fn next_change(&mut self) -> Result<Read, TableError> {
         self.called_at = self.clock.now();
         let known = self.known();
@@ -198,7 +202,7 @@
         }
     }
 
-    /// Takes in what was read, and tells the others of it if it was read by a call.
+    /// Applies what was read, and publishes it to the others if it was read by a call.
     async fn apply(&mut self, read: Read) {
         let is_own = !matches!(read, Read::FromPeer(_));
         let is_first = self.known() == 0;
@@ -221,23 +225,24 @@
         }
     }
 
-    /// Notes that the table, or whoever follows it, is reached, and when it was not.
+    /// Records that the table, or the instance that follows it, is reachable, and when it last was
+    /// not.
     fn record_reached(&mut self, is_own: bool) {
         if let Some(outage) = self.outage.take() {
             let away_ms = (self.clock.now() - outage.began_at).0;
             emit(&Event::DependencyRegained { dependency: self.follower.table(), away_ms });
             self.follower.regained(outage.last_unreachable_at);
-            self.recorded_away = outage.last_unreachable_at;
+            self.reported_away_at = outage.last_unreachable_at;
         }
         if is_own {
             self.watch().record_success();
         }
-        // Whoever is changes of rows has not met the outage itself, and gives entries that lapsed in it
-        // as much time to be back.
+        // An instance that receives rows from peers has not seen the outage itself. It gives
+        // entries that lapsed in it the same time to return.
         let away_at = self.watch().away_at();
-        if away_at > self.recorded_away && !self.peers.is_full_mesh() {
+        if away_at > self.reported_away_at && !self.peers.is_full_mesh() {
             self.follower.regained(away_at);
-            self.recorded_away = away_at;
+            self.reported_away_at = away_at;
         }
     }
 
@@ -273,7 +278,8 @@
         emit(&Event::RowsTaken { dependency, source, after, to, rows });
     }
 
-    /// Tells the other instances of the availability zone of rows that a call has brought.
+    /// Publishes, to the other instances of the availability zone, the rows that a call has
+    /// returned.
     fn publish(&self, changes: &RowChanges) {
         if !changes.rows.is_empty() && !self.peers.is_full_mesh() && self.is_chosen() {
             self.watch().queue_rows(changes.clone());
@@ -292,7 +298,7 @@
         self.watch().record_failure(away_at, now);
         // Another instance of the availability zone may reach the table.
         self.peers.announce();
-        // The changes of an outage may be many times as large as what stands there now.
+        // The changes during an outage may be many times as large as the table's current rows.
         if err == TableError::Unfinished {
             self.needs_full_read = true;
         }
--- a/crates/anvilhook-gateway/src/followers/mod.rs
+++ b/crates/anvilhook-gateway/src/followers/mod.rs
@@ -1,4 +1,4 @@
-//! Following the platform's tables: the configuration and the upstreams' entries.
+//! Follows the platform's tables: the configuration and the upstreams' entries.
 
 mod configs;
 mod entries;
@@ -19,16 +19,17 @@
 pub use entries::EntryFollower;
 pub(crate) use entries::LIST_SOURCE;
 
-/// What passes beside a call's wait until a change is seen that a connection hid which has gone
-/// silent: the store's time for an answer, the gathering of changes, the next call, and a margin.
+/// The time in addition to a call's wait until a change is noticed behind a connection that has
+/// stopped responding: the store's response time, the gathering of changes, the next call, and a
+/// margin.
 const DETECTION_OVERHEAD: Millis = Millis(1_200);
 
-/// The shortest and the longest wait of a call. A store need not hold a call for longer.
+/// The limits for the wait of a call. A store need not delay a call for longer than the upper one.
 const SHORTEST_WAIT: Millis = Millis(500);
 const LONGEST_WAIT: Millis = Millis(25_000);
 
-/// Returns how long a call may wait for changes, if one may stay unseen for `unseen` behind a
-/// connection that has gone silent. Each call has its price, so they wait as long as they may.
+/// Returns how long a call may wait for changes, if a change may stay unseen for `unseen` behind a
+/// connection that has stopped responding. Each call has a price, so calls wait as long as allowed.
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
@@ -41,34 +42,36 @@
     Millis(unseen.0.saturating_sub(DETECTION_OVERHEAD.0)).clamp(SHORTEST_WAIT, LONGEST_WAIT)
 }
 
-/// `Follow` takes in what stands in a table and what changes there.
+/// `Follow` applies the current rows of a table and their changes.
 pub trait Follow: Send {
     /// Returns the table's name.
     fn table(&self) -> &'static str;
 
-    /// Takes in all rows as of one moment.
+    /// Applies a full scan of the table.
     fn reset(&mut self, rows: &[Row]);
 
-    /// Takes in changed rows, in order.
+    /// Applies changed rows, in order.
     fn change(&mut self, rows: &[Row]);
 
-    /// Notes that the table has answered.
+    /// Records that the table, or the instance that follows it for this one, has responded.
     fn contacted(&mut self) {}
 
-    /// Returns the instances that follow the table too, and which it is for them.
+    /// Returns the instances that follow the table too, and the table's identifier among them.
     fn sharers(&self) -> (Arc<Peers>, FollowedTable);
 
-    /// Returns how long further changes may gather before they are asked for.
+    /// Returns how long to gather further changes before the next call.
     fn gather_time(&self) -> Millis {
         Millis::ZERO
     }
 
-    /// Notes that the table is reached again, and that it was not at `last_unreachable_at`.
-    fn regained(&mut self, _last_away: Millis) {}
+    /// Records that the table is reachable again, and was last known to be unreachable at
+    /// `_last_unreachable_at`.
+    fn regained(&mut self, _last_unreachable_at: Millis) {}
 }
 
-/// Follows a table for as long as the process runs, by calls that wait for changes up to `wait`, or by
-/// what the instance that makes such calls for its availability zone tells.
+/// Follows a table for as long as the process runs, either by calls that wait up to `wait` for
+/// changes, or by the rows published by the instance that makes such calls for its availability
+/// zone.
 pub async fn follow<T: Table, F: Follow, C: Clock>(table: T, clock: C, wait: Millis, follower: F) {
     let mut following = Following::new(table, clock, wait, follower);
     loop {
--- a/crates/anvilhook-gateway/src/followers/unreadable.rs
+++ b/crates/anvilhook-gateway/src/followers/unreadable.rs
@@ -1,4 +1,4 @@
-//! Telling of rows that can't be read.
+//! Reports rows that can't be decoded.
 
 use std::collections::{HashMap, HashSet};
 
@@ -8,19 +8,19 @@
 use crate::texts::bounded;
 use crate::wires::DecodeError;
 
-/// `UnreadableRows` tells of each version of a row that can't be read once, by a line of the log and a
-/// count.
+/// `UnreadableRows` reports each version of an undecodable row once, in the log and in a counter.
 ///
-/// A table is read whole again after each gap in its history, and peers report of its rows besides. A row
-/// that stays as it is would otherwise fill the log, and its count would say how often it was read.
+/// A table is read whole again after each gap in its history, and peers publish its rows as well.
+/// Without this, an unchanged row would fill the log, and its counter would show how often it was
+/// read.
 #[derive(Debug, Default)]
 pub(super) struct UnreadableRows {
-    /// The newest version reported, by key. A row that is gone or can be read again has none.
+    /// The newest reported version, by key. A row that is removed or readable again has none.
     reported: HashMap<String, u64>,
 }
 
 impl UnreadableRows {
-    /// Tells of a row, unless this version or a newer one was reported.
+    /// Reports a row, unless this version or a newer one was reported.
     pub fn report(&mut self, metrics: &GatewayMetrics, table: &str, row: &Row, err: &DecodeError) {
         if self.reported.get(&row.key).is_some_and(|reported| *reported >= row.version) {
             return;
@@ -31,12 +31,12 @@
         emit(&Event::UnreadableRow { table, key, cause: bounded(&err.to_string()).to_owned() });
     }
 
-    /// Notes that a row is gone, or can be read.
+    /// Records that a row is removed or readable.
     pub fn forget(&mut self, key: &str) {
         self.reported.remove(key);
     }
 
-    /// Notes all rows that there are.
+    /// Drops the records of rows that are not among `rows`, the table's current rows.
     pub fn retain(&mut self, rows: &[Row]) {
         if self.reported.is_empty() {
             return;
--- a/crates/anvilhook-gateway/src/instances.rs
+++ b/crates/anvilhook-gateway/src/instances.rs
@@ -1,4 +1,4 @@
-//! One running instance of the gateway: listeners, followers, and its start and stop.
+//! Runs an instance of the gateway: its listeners and followers, its start and its stop.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -31,66 +31,66 @@
 use crate::tables::{CountedTable, Table};
 use crate::wires::Wire;
 
-/// How long an instance that stops goes on taking connections. Whoever spreads connections needs
-/// that long to notice that it is not ready.
+/// How long a stopping instance accepts new connections. Load balancers need that long to notice
+/// that it is not ready.
 const NOTICE_TIME: Millis = Millis(2_300);
 
-/// How long before its end an instance that stops takes no request any more.
+/// How long before its end a stopping instance stops accepting requests.
 const FINISH_TIME: Millis = Millis(2_500);
 
-/// How long nothing must be in flight before an instance that stops ends.
+/// How long a stopping instance must have nothing in flight before it ends.
 const QUIET_TIME: Millis = Millis(150);
 
-/// What is left of the time for a stop when the process ends in any case.
+/// The margin before the end of the stop time at which the process ends at the latest.
 const STOP_MARGIN: Millis = Millis(900);
 
-/// The pause between two checks at what is in flight.
+/// The interval between two checks of what is in flight.
 const CHECK_INTERVAL: Millis = Millis(20);
 
-/// How often the settings are looked at for a change that no signal told.
+/// The interval at which the settings are checked for changes without a signal.
 const RELOAD_INTERVAL: Millis = Millis(1_000);
 
-/// The time for the last bytes of answers.
+/// The time to send the last bytes of answers.
 const FLUSH_TIME: Millis = Millis(300);
 
-/// `InstanceOptions` says where an instance listens and how it stops.
+/// `InstanceOptions` states where an instance listens and how it runs.
 #[derive(Clone, Debug)]
 pub struct InstanceOptions {
     /// The instance's name.
     pub name: Arc<str>,
-    /// Where callers connect.
+    /// The address for callers.
     pub front: SocketAddr,
-    /// Where readiness is asked for.
+    /// The address for readiness checks.
     pub readiness: SocketAddr,
-    /// Where operators ask for metrics and suspected requests, if anywhere.
+    /// The address for operators' requests for metrics and suspected requests, if any.
     pub control: Option<SocketAddr>,
-    /// Where other instances send their datagrams.
+    /// The address for the datagrams of other instances.
     pub peer: SocketAddr,
-    /// How wide the instance's link is, in megabits a second, if that is known. Those with wide links
-    /// tell and follow for the others.
+    /// The bandwidth of the instance's link in megabits a second, if known. Instances with wide
+    /// links are preferred as zone leaders and followers.
     pub link_mbps: Option<f64>,
-    /// How long a change may stay unseen behind a connection that has gone silent.
+    /// How long a change may stay unseen behind a connection that has stopped responding.
     pub unseen: Millis,
-    /// What may change while the instance runs.
+    /// The options that may change while the instance runs.
     pub tunables: Tunables,
-    /// The figures by which requests are served.
+    /// The options of request handling.
     pub gateway: GatewayOptions,
-    /// How engines are to be split.
+    /// The options of the split of engines between roles.
     pub roles: RoleOptions,
-    /// Which duties one instance at a time has.
+    /// The duties that one instance at a time performs.
     pub duties: DutyOptions,
 }
 
-/// `Backends` is what an instance calls beside its upstreams.
+/// `Backends` are the services that an instance calls in addition to its upstreams.
 #[derive(Clone, Debug)]
 pub struct Backends<T, P> {
     /// The platform's tables.
     pub table: T,
-    /// The platform's API, if there are duties.
+    /// The platform's API, if the instance has duties.
     pub cloud: Option<P>,
 }
 
-/// Runs an instance until it is told to stop.
+/// Runs an instance until it receives SIGTERM.
 ///
 /// # Errors
 ///
@@ -103,7 +103,7 @@
     clock: C,
     client: HttpClient,
 ) -> std::io::Result<()> {
-    // The signals are caught before anything is open, so that none ends the process at once.
+    // The signals are caught before anything is open, so that none terminates the process at once.
     let mut terminate = signal(SignalKind::terminate())?;
     let mut hangup = signal(SignalKind::hangup())?;
     let gateway = Gateway::new(wire, clock.clone(), client, options.gateway.clone());
@@ -148,8 +148,9 @@
     }
     let signalled_at = clock.now();
     signalled("SIGTERM", gateway.in_flight());
-    // The time to stop may have been shortened since the last look, with or without a signal that still
-    // waits. An instance that takes more than it has is killed in the midst of its answers.
+    // The time to stop may have been shortened since the last check, with or without a signal that
+    // is still pending. An instance that takes longer than it has is killed while sending its
+    // answers.
     reloader.check(false);
     let latest = signalled_at + (reloader.tunables().grace - STOP_MARGIN);
     stop(&gateway, &shutdown, &clock, latest).await;
@@ -193,13 +194,13 @@
     Ok(())
 }
 
-/// Brings all requests to their end, in the time there is.
+/// Completes all requests within the time available.
 ///
-/// New connections are taken until they come no more; then the listener is closed, and requests on
-/// kept connections are still served, if they surely end in time. Last, what still comes is refused as
-/// not run: a request that began in the process's last moment would be cut. Whatever has no answer at
-/// the end gets one. `latest` is when the instance ends, whatever is in flight; answers have a moment more
-/// to leave the process.
+/// New connections are accepted until no more arrive. Then the listener is closed, and requests on
+/// open connections are still served if they are certain to complete in time. At last, further
+/// requests are refused as not run: a request that began in the last moment of the process would be
+/// truncated. A request without an answer at the end gets one. `latest` is when the instance ends,
+/// whatever is in flight; answers have a moment more to leave the process.
 pub async fn stop<W: Wire, C: Clock>(
     gateway: &Gateway<W, C>,
     shutdown: &Shutdown,
@@ -208,8 +209,9 @@
 ) {
     let noticed_at = clock.now() + NOTICE_TIME;
     let course = Stop { noticed_at, ends_at: latest };
-    // With too few others, connections keep coming. What is taken too late would be cut by the
-    // process's end, so the last part of the time only finishes what has begun.
+    // With too few other instances, connections keep arriving. A request accepted too late would be
+    // truncated by the end of the process, so the last part of the time only completes running
+    // requests.
     let accept_until = latest - FINISH_TIME;
     gateway.begin_stop(course);
     quiet(gateway, clock, noticed_at, accept_until).await;
@@ -221,8 +223,8 @@
     quiet(gateway, clock, Millis::ZERO, latest + FLUSH_TIME).await;
 }
 
-/// Waits until nothing has been in flight for a while, not before `earliest` and at most until
-/// `latest`.
+/// Waits until nothing has been in flight for [`QUIET_TIME`], not before `earliest` and at most
+/// until `latest`.
 async fn quiet<W: Wire, C: Clock>(
     gateway: &Gateway<W, C>,
     clock: &C,
@@ -243,7 +245,7 @@
     }
 }
 
-/// Returns the router that hands every request to a gateway.
+/// Returns the router that passes every request to a gateway.
 pub fn front_router<W: Wire, C: Clock>(gateway: Gateway<W, C>) -> Router {
     Router::new().fallback(move |req: Request| {
         let gateway = gateway.clone();
--- a/crates/anvilhook-gateway/src/leases.rs
+++ b/crates/anvilhook-gateway/src/leases.rs
@@ -1,4 +1,4 @@
-//! The right to act for all instances in one matter, as one row of a table.
+//! Leases: the right to act for all instances in one matter, stored as one row of a table.
 
 use anvilhook_core::units::{Clock, Millis};
 use bytes::Bytes;
@@ -9,7 +9,7 @@
 /// The table of the leases.
 const LEASE_TABLE: &str = "anvilhook_leases";
 
-/// What is taken off a lease's length by its holder, and added to it by everybody else.
+/// The margin by which the holder shortens a lease, and every other instance extends it.
 const GUARD: Millis = Millis(600);
 
 /// `Lease` is this instance's right to act.
@@ -17,35 +17,35 @@
 pub(crate) struct Lease {
     /// The fencing token: the version at which the lease was taken from another holder.
     pub token: u64,
-    /// The version of the row as it was renewed last.
+    /// The version of the row at its last renewal.
     version: u64,
-    /// The end, counted from before the write was sent.
+    /// The end of the lease, counted from before the write was sent.
     pub until: Millis,
 }
 
-/// `LeaseManager` takes the lease and renews it.
+/// `LeaseManager` acquires the lease and renews it.
 ///
-/// Orders of two instances must never mix. One row of the table is the lease; each taking of it
-/// has a higher version, which is the fencing token for as long as nobody else takes it. The holder
-/// counts from before it sent the write, everybody else from when it first saw the row, and both keep
-/// a guard.
+/// Orders of two instances must never mix. One row of the table is the lease. Each acquisition
+/// writes a higher version, which is the fencing token until another instance acquires the lease.
+/// The holder counts from before it sent the write, every other instance from when it first saw the
+/// row, and both add a guard time.
 pub(crate) struct LeaseManager<T, C> {
     table: T,
     clock: C,
     row: &'static str,
     holder: String,
-    /// How long a lease is good for.
+    /// The length of the lease.
     length: Millis,
-    /// How much longer a lapsed lease is left alone.
+    /// The additional time before a lapsed lease is acquired.
     late_calls: Millis,
-    /// The version of the row that was seen last, and since when.
+    /// The last seen version of the row, and when it was first seen.
     seen: Option<(u64, Millis)>,
     lease: Option<Lease>,
     not_before: Millis,
 }
 
 impl<T: Table, C: Clock> LeaseManager<T, C> {
-    /// Makes a keeper of the lease in a row, which it doesn't hold.
+    /// Creates a manager of the lease in a row; it does not hold the lease yet.
     pub fn new(table: T, clock: C, row: &'static str, holder: String, length: Millis) -> Self {
         Self {
             table,
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Leaves a lapsed lease alone for so much longer: for as long as a call of the earlier holder may
-    /// still be carried out, where its fencing token is not checked.
+    /// Delays the acquisition of a lapsed lease by as long as a call of the earlier holder may
+    /// still be executed, for systems that don't check its fencing token.
     pub fn with_late_calls(self, late_calls: Millis) -> Self {
         Self { late_calls, ..self }
     }
@@ -76,25 +76,25 @@
         self.lease.is_some_and(|lease| self.clock.now() < lease.until)
     }
 
-    /// Has the row read before the lease is used again.
+    /// Forces the row to be read before the lease is used again.
     pub fn reload(&mut self) {
         if let Some(lease) = &mut self.lease {
             lease.until = Millis::ZERO;
         }
     }
 
-    /// Gives the lease up because an engine has seen a newer one, and leaves the newer holder its time.
+    /// Releases the lease because an engine has seen a newer one, and gives the newer holder time.
     pub fn yield_to_newer(&mut self) {
         self.lease = None;
         self.not_before = self.clock.now() + self.length * 2;
     }
 
-    /// Returns the lease if it is held, or can be taken now.
+    /// Returns the lease if it is held or can be acquired now.
     pub async fn hold(&mut self) -> Option<Lease> {
         self.hold_for(GUARD).await
     }
 
-    /// Returns the lease if it is held for so long from now, or can be taken.
+    /// Returns the lease if it is held for `time` from now or can be acquired.
     pub async fn hold_for(&mut self, time: Millis) -> Option<Lease> {
         let now = self.clock.now();
         if now < self.not_before {
--- a/crates/anvilhook-gateway/src/peers/digests.rs
+++ b/crates/anvilhook-gateway/src/peers/digests.rs
@@ -103,7 +103,7 @@
 /// `Digest` is a datagram from one instance to another.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Digest {
-    /// The random number that identifies the sender's process.
+    /// The number that the sender's process has chosen to identify itself.
     pub from: u64,
     /// The loads of engines at which the sender has work in flight.
     pub loads: Vec<EngineLoad>,
--- a/crates/anvilhook-gateway/src/peers/members.rs
+++ b/crates/anvilhook-gateway/src/peers/members.rs
@@ -98,7 +98,7 @@
         self.has_cache_seed.store(true, Ordering::Release);
     }
 
-    /// Returns the version up to which a table has been followed.
+    /// Returns the progress of the instances in following a table.
     pub fn version_of(&self, table: FollowedTable) -> &TableVersion {
         self.watch_of(table).version()
     }
@@ -110,14 +110,14 @@
 
     /// Applies the watch states of the instance at an address.
     pub(super) fn apply_watches(&self, digest: &Digest, from: SocketAddr, now: Millis) {
-        for (table, told) in FollowedTable::ALL.into_iter().zip(&digest.watches) {
-            self.watch_of(table).merge(from, told, now);
+        for (table, state) in FollowedTable::ALL.into_iter().zip(&digest.watches) {
+            self.watch_of(table).merge(from, state, now);
         }
     }
 
     /// Returns whether this instance should follow a table by its own calls. In a full mesh every
-    /// instance does, since their calls cost little; in zoned mode one instance of each
-    /// availability zone does.
+    /// instance does, since the calls of few instances cost little; in zoned mode one instance of
+    /// each availability zone does.
     pub fn follows(&self, table: FollowedTable, now: Millis) -> bool {
         let known = self.known.lock().expect("no panic under this lock");
         if known.len() <= MAX_FULL_MESH_PEERS {
@@ -157,9 +157,9 @@
         now: Millis,
     ) -> impl Iterator<Item = (SocketAddr, &'k Peer)> {
         let zone_peers = known.iter().filter(|(_, known)| known.zone == Some(self.zone));
-        let heard =
+        let peers =
             zone_peers.filter_map(|(address, known)| Some((*address, known.peer.as_ref()?)));
-        heard.filter(move |(_, peer)| peer.last_seen_at + FOLLOWER_TIMEOUT > now)
+        peers.filter(move |(_, peer)| peer.last_seen_at + FOLLOWER_TIMEOUT > now)
     }
 
     /// Records that a digest of another availability zone's leader was received.
@@ -240,7 +240,7 @@
         self.known.lock().expect("no panic under this lock").entry(address).or_default();
     }
 
-    /// Records that this instance is listed and has read the other listed instances.
+    /// Records that this instance is listed and has read which others are.
     pub(super) fn record_listed(&self) {
         self.was_listed.store(true, Ordering::Release);
         self.is_new.store(true, Ordering::Release);
@@ -320,8 +320,8 @@
     /// Returns the number of peers that were recently seen.
     pub fn live_peers(&self, now: Millis) -> usize {
         let known = self.known.lock().expect("no panic under this lock");
-        let heard = known.values().filter_map(|known| known.peer.as_ref());
-        heard.filter(|peer| peer.last_seen_at + PEER_AGE > now).count()
+        let peers = known.values().filter_map(|known| known.peer.as_ref());
+        peers.filter(|peer| peer.last_seen_at + PEER_AGE > now).count()
     }
 
     /// Returns the maximum number of instances, including this one. It counts those that send
@@ -332,23 +332,24 @@
     }
 
     /// Returns whether this instance acts for all instances. In a full mesh that is the one with
-    /// the lowest number, in zoned mode the leader of the lowest zone that was recently seen.
+    /// the lowest number, in zoned mode the leader of the zone with the lowest hash among those
+    /// recently seen.
     pub fn is_first(&self, now: Millis) -> bool {
         if self.is_full_mesh() {
             return self.is_lowest_except(None, now);
         }
         let zones = self.zones.lock().expect("no panic under this lock");
-        let mut heard = zones.iter().filter(|(_, at)| **at + PEER_AGE > now);
-        heard.all(|(zone, _)| self.zone < *zone) && self.zone_leader(now).is_none()
+        let mut live_zones = zones.iter().filter(|(_, at)| **at + PEER_AGE > now);
+        live_zones.all(|(zone, _)| self.zone < *zone) && self.zone_leader(now).is_none()
     }
 
     /// Returns the addresses of the `count` highest-ranked other instances of this availability
     /// zone: its leader and those that would replace it.
     pub(super) fn zone_leaders(&self, count: usize, now: Millis) -> Vec<SocketAddr> {
         let known = self.known.lock().expect("no panic under this lock");
-        let heard = self.live_zone_peers(&known, now);
+        let live = self.live_zone_peers(&known, now);
         let mut ranked: Vec<_> =
-            heard.map(|(address, peer)| (leader_rank(peer.number), address)).collect();
+            live.map(|(address, peer)| (leader_rank(peer.number), address)).collect();
         ranked.sort_unstable_by(|a, b| b.cmp(a));
         ranked.into_iter().take(count).map(|(_, address)| address).collect()
     }
@@ -359,16 +360,16 @@
     pub fn duty_rank(&self, now: Millis) -> Option<usize> {
         if self.is_full_mesh() {
             let known = self.known.lock().expect("no panic under this lock");
-            let heard = known.values().filter_map(|known| known.peer.as_ref());
-            let running = heard.filter(|peer| peer.last_seen_at + PEER_AGE > now);
+            let peers = known.values().filter_map(|known| known.peer.as_ref());
+            let running = peers.filter(|peer| peer.last_seen_at + PEER_AGE > now);
             return Some(running.filter(|peer| peer.number < self.number()).count());
         }
         if self.zone_leader(now).is_some() {
             return None;
         }
         let zones = self.zones.lock().expect("no panic under this lock");
-        let heard = zones.iter().filter(|(_, at)| **at + PEER_AGE > now);
-        Some(heard.filter(|(zone, _)| **zone < self.zone).count())
+        let live_zones = zones.iter().filter(|(_, at)| **at + PEER_AGE > now);
+        Some(live_zones.filter(|(zone, _)| **zone < self.zone).count())
     }
 
     /// Returns whether this instance should send a new one what it knows. Apart from the new
@@ -387,8 +388,8 @@
     fn is_lowest_except(&self, other: Option<SocketAddr>, now: Millis) -> bool {
         let known = self.known.lock().expect("no panic under this lock");
         let others = known.iter().filter(|(address, _)| Some(**address) != other);
-        let heard = others.filter_map(|(_, known)| known.peer.as_ref());
-        let mut running = heard.filter(|peer| peer.last_seen_at + PEER_AGE > now);
+        let peers = others.filter_map(|(_, known)| known.peer.as_ref());
+        let mut running = peers.filter(|peer| peer.last_seen_at + PEER_AGE > now);
         running.all(|peer| self.number() < peer.number)
     }
 }
--- a/crates/anvilhook-gateway/src/peers/mod.rs
+++ b/crates/anvilhook-gateway/src/peers/mod.rs
@@ -117,8 +117,8 @@
         gateway: &Gateway<W, C>,
         now: Millis,
     ) {
-        if let Some(told) = self.publisher.publish(socket, gateway, now) {
-            self.zones.collect(&told, now);
+        if let Some(published) = self.publisher.publish(socket, gateway, now) {
+            self.zones.collect(&published, now);
         }
     }
 
--- a/crates/anvilhook-gateway/src/peers/publishing.rs
+++ b/crates/anvilhook-gateway/src/peers/publishing.rs
@@ -36,7 +36,7 @@
     ticks_since_publication: u32,
     had_loads: bool,
     /// The prompt work at each engine as last published to all peers, in milliseconds.
-    published_prefill_ms: HashMap<u32, u32>,
+    published_reading_ms: HashMap<u32, u32>,
     /// The loads as last published to the availability zone.
     published_loads: PublishedLoads,
     /// The notices as last published.
@@ -63,7 +63,7 @@
             rng,
             ticks_since_publication: 0,
             had_loads: false,
-            published_prefill_ms: HashMap::new(),
+            published_reading_ms: HashMap::new(),
             published_loads: PublishedLoads::default(),
             published_notices: Vec::new(),
             published_unable: Vec::new(),
@@ -78,9 +78,9 @@
         let reading: HashMap<u32, u32> =
             digest.loads.iter().map(|load| (load.engine, load.reading_ms)).collect();
         let of = |map: &HashMap<u32, u32>, engine| map.get(engine).copied().unwrap_or(0);
-        let engines = reading.keys().chain(self.published_prefill_ms.keys());
+        let engines = reading.keys().chain(self.published_reading_ms.keys());
         let mut changes = engines.map(|engine| {
-            let (now, before) = (of(&reading, engine), of(&self.published_prefill_ms, engine));
+            let (now, before) = (of(&reading, engine), of(&self.published_reading_ms, engine));
             // In zoned mode the end of work is not published: each peer can estimate it from the
             // work's size.
             if is_full_mesh { now.abs_diff(before) } else { now.saturating_sub(before) }
@@ -93,7 +93,7 @@
             digest.notices.iter().any(|notice| !is_in(&self.published_notices, notice));
         let is_significant = has_changed || !digest.cached.is_empty() || has_notice;
         if is_significant {
-            (self.published_prefill_ms, self.published_notices) = (reading, digest.notices.clone());
+            (self.published_reading_ms, self.published_notices) = (reading, digest.notices.clone());
         } else {
             self.published_notices.retain(|notice| is_in(&digest.notices, notice));
         }
@@ -202,7 +202,7 @@
     }
 }
 
-/// Requests the changes that this instance has missed from a peer.
+/// Requests from a peer the changes that this instance has missed.
 fn request_missed_rows<W: Wire, C: Clock>(
     socket: &UdpSocket,
     gateway: &Gateway<W, C>,
--- a/crates/anvilhook-gateway/src/peers/suspects.rs
+++ b/crates/anvilhook-gateway/src/peers/suspects.rs
@@ -87,9 +87,9 @@
     gateway: &Gateway<W, C>,
     now: Millis,
 ) {
-    for updates in &digest.suspects {
-        if gateway.suspects().apply(updates, gateway.peers().number(), now) {
-            gateway.log_quarantine(updates.request, "told");
+    for update in &digest.suspects {
+        if gateway.suspects().apply(update, gateway.peers().number(), now) {
+            gateway.log_quarantine(update.request, "told");
         }
     }
 }
--- a/crates/anvilhook-gateway/src/peers/usages.rs
+++ b/crates/anvilhook-gateway/src/peers/usages.rs
@@ -54,8 +54,8 @@
             gateway.usage().resend_all();
             self.recipients = recipients;
         }
-        while let Some(updates) = gateway.usage().take_update(now) {
-            let digest = Digest { usage: Some(updates), ..Digest::partial(peers, now) };
+        while let Some(update) = gateway.usage().take_update(now) {
+            let digest = Digest { usage: Some(update), ..Digest::partial(peers, now) };
             send(&digest, &self.recipients, socket, gateway);
         }
     }
@@ -70,7 +70,7 @@
     let peers = gateway.peers();
     let updates = gateway.usage().zone_updates(peers.zone(), now).into_iter();
     updates
-        .map(|updates| Digest { scope, usage: Some(updates), ..Digest::partial(peers, now) })
+        .map(|update| Digest { scope, usage: Some(update), ..Digest::partial(peers, now) })
         .collect()
 }
 
@@ -80,11 +80,11 @@
     gateway: &Gateway<W, C>,
     now: Millis,
 ) {
-    let Some(updates) = &digest.usage else { return };
+    let Some(update) = &digest.usage else { return };
     let source = match digest.scope {
         Scope::Instance => Source::Instance { zone: digest.zone, number: digest.from },
         Scope::Zone(_) => Source::Zone(digest.zone),
         Scope::Far => return,
     };
-    gateway.usage().merge(source, updates, now);
+    gateway.usage().merge(source, update, now);
 }
--- a/crates/anvilhook-gateway/src/peers/watches.rs
+++ b/crates/anvilhook-gateway/src/peers/watches.rs
@@ -82,9 +82,9 @@
     /// Returns the state to publish. It carries the newest change that this instance knows of,
     /// whether it has read it or not.
     ///
-    /// If the table refuses one after the other the instances that would follow it for a zone, only
-    /// the zone leader learns of a change, from other zones. The instances that then learn of it
-    /// from the leader query the table themselves.
+    /// If the table refuses each instance that tries to follow it for its zone, only the zone
+    /// leader learns of a change, from other zones. The instances that then learn of it from the
+    /// leader query the table themselves.
     pub fn state(&self, now: Millis) -> WatchState {
         let away_at = self.away_at();
         let is_recent = away_at > Millis::ZERO && now < away_at + AWAY_PUBLISH_TIME;
--- a/crates/anvilhook-gateway/src/peers/zones.rs
+++ b/crates/anvilhook-gateway/src/peers/zones.rs
@@ -90,10 +90,10 @@
                 self.notices.push((now, notice.clone()));
             }
         }
-        for news in &digest.suspects {
-            let is_new = !self.suspects.iter().any(|(_, known)| known.is_same(news));
+        for update in &digest.suspects {
+            let is_new = !self.suspects.iter().any(|(_, known)| known.is_same(update));
             if is_new && self.suspects.len() < MAX_SUSPECTS {
-                self.suspects.push((now, news.clone()));
+                self.suspects.push((now, update.clone()));
             }
         }
     }
@@ -101,7 +101,7 @@
     /// Returns the suspect updates that are still repeated.
     fn suspects(&mut self, now: Millis) -> Vec<SuspectUpdate> {
         self.suspects.retain(|(received_at, _)| *received_at + NOTICE_AGE > now);
-        self.suspects.iter().map(|(received_at, news)| news.after(now - *received_at)).collect()
+        self.suspects.iter().map(|(received_at, update)| update.after(now - *received_at)).collect()
     }
 
     /// Returns the notices that are still repeated.
@@ -208,8 +208,8 @@
         let (scope, loads) = (Scope::Zone(self.own), near_loads(gateway, now));
         let (cached, digest) = self.outgoing.digests(scope, loads, peers, now);
         let has_findings = !digest.notices.is_empty() || !digest.suspects.is_empty();
-        let has_news = !digest.loads.is_empty() || !cached.is_empty() || has_findings;
-        if !has_news && self.skipped_rounds < MAX_SKIPPED_ROUNDS {
+        let has_updates = !digest.loads.is_empty() || !cached.is_empty() || has_findings;
+        if !has_updates && self.skipped_rounds < MAX_SKIPPED_ROUNDS {
             self.skipped_rounds += 1;
             return;
         }
@@ -262,8 +262,8 @@
             apply(&digest, self.own, gateway, now);
         }
         let has_loads = !digest.loads.is_empty();
-        let has_news = has_loads || !digest.notices.is_empty() || !digest.suspects.is_empty();
-        if !has_news && !self.had_far_loads {
+        let has_updates = has_loads || !digest.notices.is_empty() || !digest.suspects.is_empty();
+        if !has_updates && !self.had_far_loads {
             return;
         }
         self.had_far_loads = has_loads;
--- a/crates/anvilhook-gateway/src/reloads.rs
+++ b/crates/anvilhook-gateway/src/reloads.rs
@@ -1,4 +1,4 @@
-//! Options that may change while an instance runs.
+//! Applies options that may change while an instance runs.
 
 use std::net::SocketAddr;
 
@@ -10,40 +10,40 @@
 use crate::texts::bounded;
 use crate::wires::Wire;
 
-/// The settings as a source of what can't be read, as metrics name it.
+/// The label of the settings as a source of unreadable data in metrics.
 const SETTINGS: &str = "settings";
 
 /// `Tunables` are the options that may change while an instance runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tunables {
-    /// The time from the signal to stop to the end of the process.
+    /// The time from the stop signal to the end of the process.
     pub grace: Millis,
     /// The budget for extra arrivals.
     pub budget: BudgetOptions,
-    /// Where other instances may be heard, before the table has been read.
+    /// The addresses at which other instances may run, used until the table has been read.
     pub seeds: Vec<SocketAddr>,
 }
 
-/// `Reread` is what reading the settings anew brought.
+/// `Reread` is the result of rereading the settings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Reread {
     /// The options now.
     pub tunables: Tunables,
-    /// Settings that have changed and are used only by a process that starts anew.
+    /// Changed settings that take effect only when the process restarts.
     pub at_restart: Vec<&'static str>,
 }
 
-/// `OptionSource` reads an instance's options anew.
+/// `OptionSource` rereads an instance's options.
 pub trait OptionSource: Send + 'static {
     /// Returns the options if they may have changed since the last call, or always if `is_asked`.
     ///
     /// # Errors
     ///
-    /// A text that names the source and the field, if the options can't be used.
+    /// A text that names the source and the field, if the options are invalid.
     fn reread(&mut self, is_asked: bool) -> Result<Option<Reread>, String>;
 }
 
-/// `Reloader` has a running gateway use changed options.
+/// `Reloader` applies changed options to a running gateway.
 pub struct Reloader<S, W: Wire, C: Clock> {
     source: S,
     gateway: Gateway<W, C>,
@@ -52,20 +52,20 @@
 }
 
 impl<S: OptionSource, W: Wire, C: Clock> Reloader<S, W, C> {
-    /// Puts options in force. `own` is this instance's own address among the instances.
+    /// Applies the initial options. `own` is this instance's own address among the instances.
     pub fn new(source: S, gateway: Gateway<W, C>, own: SocketAddr, tunables: Tunables) -> Self {
         let reloader = Self { source, gateway, own, tunables };
         reloader.apply();
         reloader
     }
 
-    /// Returns the options in force.
+    /// Returns the active options.
     pub fn tunables(&self) -> &Tunables {
         &self.tunables
     }
 
-    /// Looks whether the options have changed, and has them used. What can't be used changes
-    /// nothing: an instance goes on by what it had.
+    /// Checks whether the options have changed, and applies them. Invalid options change nothing:
+    /// the instance continues with the previous ones.
     pub fn check(&mut self, is_asked: bool) {
         match self.source.reread(is_asked) {
             Ok(None) => {}
--- a/crates/anvilhook-gateway/src/tables.rs
+++ b/crates/anvilhook-gateway/src/tables.rs
@@ -1,4 +1,4 @@
-//! The platform's table, as the gateway needs it.
+//! The interface to the platform's tables.
 
 use std::fmt;
 
@@ -10,23 +10,23 @@
 use crate::events::{Event, emit};
 use crate::metrics::TableLabels;
 
-/// `Row` is a row of a table, or the news that it is gone.
+/// `Row` is a row of a table, or its removal.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Row {
     /// The row's key.
     pub key: String,
-    /// What it holds; `None` if it was removed.
+    /// The row's content; `None` if the row was removed.
     pub value: Option<Bytes>,
     /// The version of the transaction that wrote it.
     pub version: u64,
 }
 
-/// `Rows` is what stood in a table, or what changed in it, up to a version.
+/// `Rows` are the rows of a table, or its changed rows, up to a version.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Rows {
     /// The rows.
     pub rows: Vec<Row>,
-    /// The table's version that they lead to.
+    /// The version of the table after these rows.
     pub version: u64,
 }
 
@@ -37,11 +37,11 @@
     pub key: String,
     /// The version that the row must have; 0 if it must not exist.
     pub expected: u64,
-    /// What it is to hold.
+    /// The new content.
     pub value: Bytes,
 }
 
-/// `Written` is how a conditional write ended.
+/// `Written` is the outcome of a conditional write.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Written {
     /// It took effect, at this version.
@@ -53,13 +53,13 @@
 /// `TableError` is a failed call to the table.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum TableError {
-    /// The changes asked for are no longer kept; the table has to be read anew.
+    /// The requested changes are no longer stored; the table must be read whole.
     HistoryGone,
     /// The table refused the call and did nothing.
     Refused(String),
-    /// The answer began and took too long; it may be too large for the way here.
+    /// The response began but took too long; it may be too large for the link.
     Unfinished,
-    /// No answer came; a write may have taken effect or may do so later.
+    /// No response arrived; a write may have taken effect or may do so later.
     NoAnswer(String),
 }
 
@@ -76,9 +76,9 @@
 
 impl std::error::Error for TableError {}
 
-/// `Table` reads and writes the platform's tables. Every call is bounded in time.
+/// `Table` reads and writes the platform's tables. Every call has a time limit.
 pub trait Table: Clone + Send + Sync + 'static {
-    /// Reads all rows of a table as of one moment.
+    /// Reads all rows of a table from one snapshot.
     fn scan(&self, table: &str) -> impl Future<Output = Result<Rows, TableError>> + Send;
 
     /// Waits at most `wait` for changes after `version`, and returns them in order.
@@ -97,8 +97,8 @@
     ) -> impl Future<Output = Result<Written, TableError>> + Send;
 }
 
-/// `CountedTable` counts and logs the calls to a table: each has its price, and what they are for must
-/// be seen where there are many instances.
+/// `CountedTable` counts and logs the calls to a table. Each call has a price, and its purpose must
+/// be visible where there are many instances.
 #[derive(Clone)]
 pub struct CountedTable<T> {
     table: T,
@@ -106,7 +106,7 @@
 }
 
 impl<T: Table> CountedTable<T> {
-    /// Makes a table whose calls are counted.
+    /// Creates a table whose calls are counted.
     pub fn new(table: T, calls: Family<TableLabels, Counter>) -> Self {
         Self { table, calls }
     }
