--- a/crates/anvilhook-gateway/src/instances.rs
+++ b/crates/anvilhook-gateway/src/instances.rs
@@ -41,7 +41,7 @@
 /// How long a stopping instance must have nothing in flight before it ends.
 const QUIET_TIME: Millis = Millis(150);
 
-/// The margin before the end of the stop time at which the process ends at the latest.
+/// How long before the end of the stop time the process ends in any case.
 const STOP_MARGIN: Millis = Millis(900);
 
 /// The interval between two checks of what is in flight.
@@ -208,12 +208,12 @@
     latest: Millis,
 ) {
     let noticed_at = clock.now() + NOTICE_TIME;
-    let course = Stop { noticed_at, ends_at: latest };
+    let schedule = Stop { noticed_at, ends_at: latest };
     // With too few other instances, connections keep arriving. A request accepted too late would be
     // truncated by the end of the process, so the last part of the time only completes running
     // requests.
     let accept_until = latest - FINISH_TIME;
-    gateway.begin_stop(course);
+    gateway.begin_stop(schedule);
     quiet(gateway, clock, noticed_at, accept_until).await;
     shutdown.advance(Phase::Closed);
     quiet(gateway, clock, Millis::ZERO, accept_until).await;
--- a/crates/anvilhook-gateway/src/leases.rs
+++ b/crates/anvilhook-gateway/src/leases.rs
@@ -83,7 +83,8 @@
         }
     }
 
-    /// Releases the lease because an engine has seen a newer one, and gives the newer holder time.
+    /// Releases the lease because an engine has seen a newer one, and leaves the newer holder its
+    /// time.
     pub fn yield_to_newer(&mut self) {
         self.lease = None;
         self.not_before = self.clock.now() + self.length * 2;
@@ -105,7 +106,7 @@
         {
             return Some(lease);
         }
-        match self.take().await {
+        match self.acquire().await {
             Ok(lease) => self.lease = lease,
             Err(err) => {
                 emit(&Event::Lease { lease: self.row, outcome: &err.to_string(), token: 0 });
@@ -115,7 +116,7 @@
         self.lease
     }
 
-    async fn take(&mut self) -> Result<Option<Lease>, TableError> {
+    async fn acquire(&mut self) -> Result<Option<Lease>, TableError> {
         let rows = self.table.scan(LEASE_TABLE).await?;
         let row = rows.rows.iter().find(|row| row.key == self.row);
         let version = row.map_or(0, |row| row.version);
--- a/crates/anvilhook-gateway/src/peers/notices.rs
+++ b/crates/anvilhook-gateway/src/peers/notices.rs
@@ -99,9 +99,9 @@
 /// Returns the role that an upstream has shown to this instance, if its entry lists another one.
 fn own_observed_role(upstream: &Upstream) -> Option<NoticeKind> {
     let observed = upstream.state.observed_role(upstream.entry.sequence)?;
-    let is_news = observed.is_own && Some(observed.role) != upstream.entry.role;
+    let is_new = observed.is_own && Some(observed.role) != upstream.entry.role;
     let RoleObservation { role, sequence, .. } = observed;
-    is_news.then_some(NoticeKind::HasRole { role, sequence })
+    is_new.then_some(NoticeKind::HasRole { role, sequence })
 }
 
 /// Returns the role change that this instance has ordered and that is not complete.
