--- a/crates/anvilhook-gateway/src/followers/configs.rs
+++ b/crates/anvilhook-gateway/src/followers/configs.rs
@@ -1,4 +1,4 @@
-//! Following the configuration.
+//! Follows the configuration.
 
 use std::sync::Arc;
 
@@ -10,17 +10,17 @@
 use crate::tables::Row;
 use crate::wires::Wire;
 
-/// The configuration as a belief, as metrics name it.
-const CONFIG_BELIEF: &str = "config";
+/// The label of the configuration as a source of cached state in metrics.
+const CONFIG_SOURCE: &str = "config";
 
-/// `ConfigFollower` puts each newer configuration in force.
+/// `ConfigFollower` applies each newer configuration to the gateway.
 pub struct ConfigFollower<W: Wire, C: Clock> {
     gateway: Gateway<W, C>,
     unreadable: UnreadableRows,
 }
 
 impl<W: Wire, C: Clock> ConfigFollower<W, C> {
-    /// Makes a follower that knows no configuration.
+    /// Creates a follower that has no configuration yet.
     pub fn new(gateway: Gateway<W, C>) -> Self {
         Self { gateway, unreadable: UnreadableRows::default() }
     }
@@ -35,8 +35,8 @@
         self.change(rows);
     }
 
-    fn heard(&mut self) {
-        self.gateway.record_contact(CONFIG_BELIEF);
+    fn contacted(&mut self) {
+        self.gateway.record_contact(CONFIG_SOURCE);
     }
 
     fn sharers(&self) -> (Arc<Peers>, FollowedTable) {
@@ -52,7 +52,7 @@
                     self.unreadable.forget(key);
                     self.gateway.adopt_config(config);
                 }
-                Err(err) => self.unreadable.tell(self.gateway.metrics(), table, row, &err),
+                Err(err) => self.unreadable.report(self.gateway.metrics(), table, row, &err),
             }
         }
     }
