--- a/crates/anvilhook-core/src/fleet_size.rs
+++ b/crates/anvilhook-core/src/fleet_size.rs
@@ -1,43 +1,43 @@
-//! How many engines of each kind run in each availability zone.
+//! Plans how many engines of each kind run in each availability zone.
 //!
-//! The load that this answers: bursts that are over before a new engine has started, on engines of which a
-//! reclaimable one costs a fifth of a regular one. All reclaimable engines of a zone may go at the same
-//! moment, with a notice that is shorter than a start, and of a second zone some seconds later. So there
-//! are more of the cheap kind than of the fleet that the operator started, for as much as they spare,
-//! spread evenly; what a zone loses, the others get at once, and regular engines come in only where there
-//! are too few of both.
+//! Designed for: bursts that are shorter than the start of an engine, and reclaimable engines that cost a
+//! fifth of a regular one. All reclaimable engines of a zone may be reclaimed at once, with a notice that
+//! is shorter than the start of an engine, and those of a second zone some seconds later. The planner
+//! therefore spends what the cheap engines save on running more of them than the operator started, spread
+//! evenly over the zones. Engines that one zone loses are ordered in the others at once. Regular engines
+//! are ordered only where there are too few engines of both kinds.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::units::Millis;
 
-/// What passes beside the start of an engine until it is listed.
+/// The time from when a started engine is ready until it is listed.
 const LISTING_TIME: Millis = Millis(2_500);
 
-/// How long a zone is left alone that has no reclaimable engines to give.
+/// How long no engines are ordered in a zone that has no reclaimable ones available.
 const EXHAUSTED_PAUSE: Millis = Millis(1_500);
 
-/// The share of the engines that must be there, or about to start, after several zones have lost theirs.
-/// Regular ones are ordered for what lacks.
-const LEAST_AFTER_LOSSES: f64 = 0.6;
+/// The share of the initial engines that must run or be starting after several zones have lost theirs.
+/// Regular engines are ordered to make up the difference.
+const MIN_SHARE_AFTER_LOSSES: f64 = 0.6;
 
-/// How long there must be too many engines until fewer are ordered.
-const SHRINK_PATIENCE: Millis = Millis::from_secs(8);
+/// How long there must be too many reclaimable engines before fewer are ordered.
+const SHRINK_DELAY: Millis = Millis::from_secs(8);
 
-/// How long the replacements of regular engines must be listed until those are given up.
-const SWITCH_PATIENCE: Millis = Millis(700);
+/// How long the replacements of regular engines must be listed before the regular ones are released.
+const SWITCH_DELAY: Millis = Millis(700);
 
-/// `ScalingSpec` is what is declared of the number of a service's engines.
+/// `ScalingSpec` is the declared scaling of a service's engines.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ScalingSpec {
-    /// The least and the most engines of both kinds together in each availability zone.
+    /// The minimum number of engines of both kinds together in each availability zone.
     pub min: u32,
-    /// See `min`.
+    /// The maximum number of engines of both kinds together in each availability zone.
     pub max: u32,
     /// How long an engine takes to start.
     pub boot: Millis,
-    /// What a reclaimable engine costs against a regular one; `None` if there are none.
+    /// The cost of a reclaimable engine relative to a regular one; `None` if there are no reclaimable engines.
     pub reclaimable_price: Option<f64>,
 }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// `SizeOptions` says how many engines there are to be, against those that there were at first.
+/// `SizeOptions` sets the planned number of engines relative to the initial number.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SizeOptions {
-    /// The most engines, as a factor.
+    /// The maximum number of engines, as a factor of the initial number.
     pub most: f64,
-    /// The most that they may cost, as a share of what the first ones cost if they were all regular.
+    /// The maximum cost, as a share of the cost of the initial engines if all of them were regular.
     pub most_cost: f64,
-    /// The share of the first ones that stays regular, whatever else there is.
+    /// The share of the initial engines that always stays regular.
     pub regular: f64,
 }
 
 impl SizeOptions {
-    /// Returns how many engines there are to be, as a factor.
+    /// Returns the planned number of engines, as a factor of the initial number.
     ///
     /// ```
     /// use anvilhook_core::fleet_size::SizeOptions;
@@ -76,85 +76,85 @@
     }
 }
 
-/// `EngineKind` is on what terms an engine runs.
+/// `EngineKind` is the terms on which an engine runs.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum EngineKind {
-    /// It runs until it is given up.
+    /// It runs until it is released.
     Regular,
-    /// It costs less, and may be reclaimed.
+    /// It costs less and may be reclaimed.
     Reclaimable,
 }
 
-/// `ZoneEngines` is the engines of a service that are listed in an availability zone and don't leave.
+/// `ZoneEngines` counts the engines of a service in an availability zone that are listed and not leaving.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ZoneEngines {
     /// The availability zone.
     pub zone: Arc<str>,
-    /// The regular ones.
+    /// The number of regular engines.
     pub regular: u32,
-    /// The reclaimable ones.
+    /// The number of reclaimable engines.
     pub reclaimable: u32,
 }
 
-/// `SizeOrder` is a number of engines to be ordered.
+/// `SizeOrder` orders a number of engines.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SizeOrder {
     /// The availability zone.
     pub zone: Arc<str>,
-    /// The kind.
+    /// The kind of the engines.
     pub kind: EngineKind,
-    /// How many are to run.
+    /// The number of engines that are to run.
     pub desired: u32,
-    /// Why.
+    /// The reason, as it is logged.
     pub reason: &'static str,
 }
 
-/// `SizeAnswer` is what came of an order.
+/// `SizeAnswer` is the outcome of an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SizeAnswer {
-    /// It was taken.
+    /// The order was accepted.
     Taken,
-    /// There are none to be had now.
+    /// No engines of this kind are available now.
     Unavailable,
-    /// Nothing is known.
+    /// The outcome is not known.
     Unknown,
 }
 
-/// `Ordered` is what was ordered last of a kind in a zone.
+/// `Ordered` is the last order for engines of a kind in a zone.
 #[derive(Clone, Copy, Debug)]
 struct Ordered {
     desired: u32,
     had: u32,
     is_taken: bool,
-    again_at: Millis,
+    retry_at: Millis,
 }
 
-/// `ZoneState` is what is remembered of a zone.
+/// `ZoneState` is the planner's state of a zone.
 #[derive(Clone, Debug, Default)]
 struct ZoneState {
     ordered: HashMap<EngineKind, Ordered>,
-    /// Since when there are more of a kind than needed.
+    /// Since when there have been more engines of a kind than needed.
     spare_since: HashMap<EngineKind, Millis>,
-    /// Whether there were no reclaimable ones to be had when they were ordered last.
+    /// Whether no reclaimable engines were available when they were last ordered.
     is_exhausted: bool,
 }
 
-/// `ZoneShare` is what each zone is to have.
+/// `ZoneShare` is each zone's share of the engines.
 #[derive(Clone, Copy, Debug)]
 struct ZoneShare {
     /// Engines of both kinds.
     each: u32,
-    /// The same while other zones have none to give.
+    /// Engines of both kinds while some zones have no reclaimable engines available.
     spread: u32,
-    /// Engines that there were at first.
+    /// Engines in the initial fleet.
     first: u32,
-    /// Regular ones in any case.
+    /// Regular engines that run in any case.
     base: u32,
-    /// Regular ones that lack since there are too few reclaimable ones anywhere.
+    /// Regular engines needed because there are too few reclaimable ones over all zones.
     missing: u32,
 }
 
-/// `FleetPlanner` decides on the number of one service's engines.
+/// `FleetPlanner` decides how many engines of one service run.
 ///
 /// ```
 /// use anvilhook_core::fleet_size::{
@@ -166,7 +166,7 @@
 ///     ScalingSpec { min: 1, max: 9, boot: Millis(4_000), reclaimable_price: Some(0.2) };
 /// let mut planner = FleetPlanner::new(SizeOptions { most: 1.5, most_cost: 0.5, regular: 0.0 });
 /// let zones = [ZoneEngines { zone: "a".into(), regular: 4, reclaimable: 0 }];
-/// assert_eq!(planner.orders(&spec, &zones, Millis(0)), [], "others may still be listed");
+/// assert_eq!(planner.orders(&spec, &zones, Millis(0)), [], "more engines may still be listed");
 /// let orders = planner.orders(&spec, &zones, Millis(3_000));
 /// assert_eq!((orders[0].kind, orders[0].desired), (EngineKind::Reclaimable, 5));
 /// ```
@@ -174,14 +174,14 @@
 pub struct FleetPlanner {
     options: SizeOptions,
     zones: HashMap<Arc<str>, ZoneState>,
-    /// How many engines there were at first.
+    /// The initial number of engines, before any were ordered.
     usual: Option<u32>,
-    /// The most engines that were listed while that is not known, and since when.
+    /// The highest number of engines listed while `usual` is not known, and since when.
     listed: (u32, Millis),
 }
 
 impl FleetPlanner {
-    /// Makes a planner that has seen nothing.
+    /// Creates a planner that has observed no engines.
     pub fn new(options: SizeOptions) -> Self {
         Self { options, zones: HashMap::new(), usual: None, listed: (0, Millis::ZERO) }
     }
@@ -191,14 +191,14 @@
         self.usual
     }
 
-    /// Sets how many engines there were before any were ordered, as an earlier holder has noted.
+    /// Sets how many engines there were before any were ordered, as recorded by an earlier lease holder.
     pub fn set_usual(&mut self, engines: u32) {
         self.usual = Some(engines);
     }
 
-    /// Notes how many engines are listed. Those that start with the instances are listed one after the
-    /// other.
-    fn note_listed(&mut self, listed: u32, now: Millis) {
+    /// Records how many engines are listed. Engines that start together with the instances are listed one
+    /// after the other, so the initial number is only known once it has not grown for `LISTING_TIME`.
+    fn record_listed(&mut self, listed: u32, now: Millis) {
         if listed > self.listed.0 {
             self.listed = (listed, now);
         }
@@ -208,7 +208,7 @@
         }
     }
 
-    /// Returns the orders that are due, by the engines that are listed.
+    /// Returns the orders to give now for the listed engines.
     pub fn orders(
         &mut self,
         spec: &ScalingSpec,
@@ -216,14 +216,14 @@
         now: Millis,
     ) -> Vec<SizeOrder> {
         let listed: u32 = zones.iter().map(|zone| zone.regular + zone.reclaimable).sum();
-        self.note_listed(listed, now);
+        self.record_listed(listed, now);
         let Some(usual) = self.usual else { return Vec::new() };
         let zone_count = zones.len() as u32;
         let wanted = self.wanted(spec, usual);
-        let giving = zones.iter().filter(|zone| !self.is_exhausted(zone)).count().max(1) as u32;
+        let available = zones.iter().filter(|zone| !self.is_exhausted(zone)).count().max(1) as u32;
         let share = ZoneShare {
             each: wanted.div_ceil(zone_count).clamp(spec.min, spec.max),
-            spread: wanted.div_ceil(giving).clamp(spec.min, spec.max),
+            spread: wanted.div_ceil(available).clamp(spec.min, spec.max),
             first: usual.div_ceil(zone_count),
             base: part_of(usual, self.options.regular).div_ceil(zone_count),
             missing: self.missing_each(usual, zones, now),
@@ -232,25 +232,25 @@
         orders.collect()
     }
 
-    /// Returns how many engines there are to be, in all.
+    /// Returns the planned number of engines in total.
     fn wanted(&self, spec: &ScalingSpec, usual: u32) -> u32 {
         part_of(usual, self.options.factor(spec.reclaimable_price))
     }
 
-    /// Returns how many regular engines each zone needs since there are, and are about to be, too few
-    /// reclaimable ones in all.
+    /// Returns how many regular engines each zone needs because too few reclaimable ones run or are starting
+    /// over all zones.
     fn missing_each(&self, usual: u32, zones: &[ZoneEngines], now: Millis) -> u32 {
         let expected = zones.iter().map(|zone| {
             let state = self.zones.get(&zone.zone);
             let kind = EngineKind::Reclaimable;
             state.map_or(0, |state| state.expected(kind, zone.reclaimable, now))
         });
-        part_of(usual, LEAST_AFTER_LOSSES)
+        part_of(usual, MIN_SHARE_AFTER_LOSSES)
             .saturating_sub(expected.sum())
             .div_ceil(zones.len() as u32)
     }
 
-    /// Returns whether a zone has lost its reclaimable engines, and has no others to give.
+    /// Returns whether a zone has lost its reclaimable engines and has no others available.
     fn is_exhausted(&self, zone: &ZoneEngines) -> bool {
         let state = self.zones.get(&zone.zone);
         zone.reclaimable == 0 && state.is_some_and(|state| state.is_exhausted)
@@ -267,12 +267,13 @@
         let engines = if self.is_exhausted(zone) { share.each } else { share.spread };
         let state = self.zones.entry(Arc::clone(&zone.zone)).or_default();
         let (reclaimable_target, regular_target) = if spec.has_cheap_engines() {
-            // Those of the first fleet make room for others as soon as there are as many, and those that
-            // are about to start are not relied on.
+            // Regular engines of the initial fleet are released as soon as as many reclaimable ones are
+            // listed. Engines that are still starting don't count, since they may not arrive.
             let needed = engines.min(share.first).saturating_sub(reclaimable);
-            let least = share.missing.max(share.base).min(spec.max.saturating_sub(reclaimable));
+            let min_regular =
+                share.missing.max(share.base).min(spec.max.saturating_sub(reclaimable));
             let cheap = engines.saturating_sub(share.base).min(spec.max.saturating_sub(regular));
-            (cheap, regular.clamp(least, needed.max(least)))
+            (cheap, regular.clamp(min_regular, needed.max(min_regular)))
         } else {
             (0, engines)
         };
@@ -287,7 +288,7 @@
         due.collect()
     }
 
-    /// Notes what came of an order in a zone with so many engines of its kind.
+    /// Records the outcome of an order in a zone that has `has` engines of the ordered kind.
     pub fn record_answer(
         &mut self,
         spec: &ScalingSpec,
@@ -305,20 +306,20 @@
         if order.kind == EngineKind::Reclaimable && answer != SizeAnswer::Unknown {
             state.is_exhausted = !is_taken;
         }
-        let again_at = now + pause;
-        let ordered = Ordered { desired: order.desired, had: has, is_taken, again_at };
+        let retry_at = now + pause;
+        let ordered = Ordered { desired: order.desired, had: has, is_taken, retry_at };
         state.ordered.insert(order.kind, ordered);
     }
 }
 
 impl ZoneState {
-    /// Returns how many of a kind there are, with those that are about to start.
+    /// Returns how many engines of a kind run or are starting.
     fn expected(&self, kind: EngineKind, has: u32, now: Millis) -> u32 {
-        let starting = self.ordered.get(&kind).filter(|one| one.is_taken && now < one.again_at);
+        let starting = self.ordered.get(&kind).filter(|one| one.is_taken && now < one.retry_at);
         starting.map_or(has, |ordered| ordered.desired.max(has))
     }
 
-    /// Returns why an order is due, if one is.
+    /// Returns the reason for an order if one must be given now.
     fn due(
         &mut self,
         kind: EngineKind,
@@ -328,8 +329,8 @@
     ) -> Option<&'static str> {
         let ordered = self.ordered.get(&kind).copied();
         let is_waiting = ordered.is_some_and(|ordered| {
-            // One that is lost meanwhile is ordered at once.
-            now < ordered.again_at && ordered.desired == target && has >= ordered.had.min(target)
+            // If an engine is lost meanwhile, its replacement is ordered at once.
+            now < ordered.retry_at && ordered.desired == target && has >= ordered.had.min(target)
         });
         if has < target {
             self.spare_since.remove(&kind);
@@ -340,15 +341,15 @@
             return None;
         }
         let since = *self.spare_since.entry(kind).or_insert(now);
-        let patience = match kind {
-            EngineKind::Regular => SWITCH_PATIENCE,
-            EngineKind::Reclaimable => SHRINK_PATIENCE,
+        let delay = match kind {
+            EngineKind::Regular => SWITCH_DELAY,
+            EngineKind::Reclaimable => SHRINK_DELAY,
         };
-        (now >= since + patience && !is_waiting).then_some("too_many")
+        (now >= since + delay && !is_waiting).then_some("too_many")
     }
 }
 
-/// Returns a part of some engines, or a multiple, rounded up.
+/// Returns a fraction or a multiple of a number of engines, rounded up.
 fn part_of(engines: u32, factor: f64) -> u32 {
     (f64::from(engines) * factor).ceil() as u32
 }
--- a/crates/anvilhook-core/src/quarantine.rs
+++ b/crates/anvilhook-core/src/quarantine.rs
@@ -1,38 +1,39 @@
-//! Poison requests: those under which engines end, and which are to be sent to no more of them.
+//! Quarantine of poison requests: requests that make engines terminate, and that must not be sent to more.
 //!
-//! A poison request comes again under a new id, at any instance, and takes an engine away each time with
-//! all that runs beside it. It is known by its [`Fingerprint`]. All that ran at an engine as it ended are
-//! suspects alike; a run that ends well tells those apart that only ran beside it.
+//! A poison request arrives again under a new id at any instance. Each time it terminates an engine together
+//! with everything that runs there. It is recognized by its [`Fingerprint`]. All requests that ran at an
+//! engine when it terminated are equally suspect; a run that completes successfully clears a request that
+//! only ran alongside the cause.
 
 use std::collections::{HashMap, VecDeque};
 
 use crate::fingerprints::Fingerprint;
 use crate::units::{Millis, WallTime};
 
-/// The most ends that are held of one request.
+/// The maximum number of ends stored for one request.
 const MAX_ENDS: usize = 8;
 
-/// The ends from which on suspects that share them are tried apart.
-const TRIED_APART_ENDS: usize = 2;
+/// The number of ends from which suspects that share them are tried separately.
+const SEPARATE_TRIAL_ENDS: usize = 2;
 
-/// How long a suspect's turn at an upstream is.
+/// How long each turn of a suspect at an upstream lasts.
 const TRIAL_TURN: Millis = Millis(4_000);
 
-/// The most engines that are remembered to have ended.
+/// The maximum number of recently terminated engines that are remembered.
 const MAX_ENDED: usize = 256;
 
-/// `QuarantineOptions` says when a request is quarantined, and for how long.
+/// `QuarantineOptions` sets when a request is quarantined, and for how long.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuarantineOptions {
-    /// How many starts of engines must have ended under a request if most that end do so under it.
+    /// How many engine processes must have ended under a request if most engine ends happen under it.
     pub ends: usize,
-    /// How many must have otherwise: where engines end of themselves, some requests meet several of them.
+    /// How many must have ended otherwise: where engines also end without cause, some requests run at several of them.
     pub ends_among_others: usize,
     /// How long a suspicion or a quarantine lasts after the last end or arrival.
     pub memory: Millis,
-    /// For how long a run that ended well clears a request of ends that are heard of meanwhile.
+    /// How long a successful run clears a request of ends that are reported meanwhile.
     pub clearance: Millis,
-    /// The most requests that are suspected at a time, and the most whose runs are known to have ended well.
+    /// The maximum number of suspected requests, and of requests with a recorded successful run.
     pub most: usize,
 }
 
@@ -48,27 +49,27 @@
     }
 }
 
-/// `SuspectStatus` is what is held of a request.
+/// `SuspectStatus` is the status of a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectStatus {
-    /// Nothing speaks against it.
+    /// There is no evidence against it.
     Clear,
-    /// So many engines ended while they ran it, too few to tell.
+    /// This many engines ended while they ran it, too few to decide.
     Suspected(usize),
-    /// It is to be sent to no engine.
+    /// It must be sent to no engine.
     Quarantined,
 }
 
-/// `EngineEnd` is the end of an engine under a request.
+/// `EngineEnd` is the end of an engine that ran a request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct EngineEnd {
-    /// The short form of the engine's id and start.
+    /// The hash of the engine's id and start.
     pub engine: u32,
-    /// When it was noted.
+    /// When it was recorded.
     pub at: Millis,
 }
 
-/// `QuarantineTracker` is what one instance holds of requests, by what it has seen itself and was told.
+/// `QuarantineTracker` tracks suspected requests from the observations of this instance and its peers.
 ///
 /// ```
 /// use anvilhook_core::fingerprints::Fingerprint;
@@ -76,47 +77,48 @@
 /// use anvilhook_core::units::Millis;
 ///
 /// let request = Fingerprint(7);
-/// let mut book = QuarantineTracker::new(QuarantineOptions::default());
+/// let mut tracker = QuarantineTracker::new(QuarantineOptions::default());
 /// for engine in 1..=3 {
-///     book.record_end(request, EngineEnd { engine, at: Millis(0) }, Millis(0));
+///     tracker.record_end(request, EngineEnd { engine, at: Millis(0) }, Millis(0));
 /// }
-/// assert_eq!(book.status(request, Millis(1)), SuspectStatus::Quarantined);
-/// book.record_success(request, Millis(2));
-/// assert_eq!(book.status(request, Millis(3)), SuspectStatus::Clear);
+/// assert_eq!(tracker.status(request, Millis(1)), SuspectStatus::Quarantined);
+/// tracker.record_success(request, Millis(2));
+/// assert_eq!(tracker.status(request, Millis(3)), SuspectStatus::Clear);
 /// ```
 #[derive(Debug)]
 pub struct QuarantineTracker {
     options: QuarantineOptions,
     suspects: HashMap<Fingerprint, Suspect>,
-    /// When runs ended well of late, by request and in order.
-    well: HashMap<Fingerprint, Millis>,
-    well_order: VecDeque<(Fingerprint, Millis)>,
-    /// The engines that ended of late, whatever ran there.
+    /// The last recent successful run of each request.
+    successes: HashMap<Fingerprint, Millis>,
+    success_order: VecDeque<(Fingerprint, Millis)>,
+    /// The engines that ended recently, whatever ran there.
     ended: VecDeque<EngineEnd>,
-    /// When suspects were cleared. Ends of before are still told on by those who have not heard it.
+    /// When suspects were cleared. Peers that have not received the clearance still forward earlier ends.
     cleared: HashMap<Fingerprint, Millis>,
 }
 
-/// `Suspect` is what speaks against a request.
+/// `Suspect` is the evidence against a request.
 #[derive(Clone, Debug, Default)]
 struct Suspect {
     ends: Vec<EngineEnd>,
-    /// When an engine last ended under it, or it last came while quarantined.
+    /// When an engine last ended under it, or when it last arrived while quarantined.
     seen_at: Millis,
-    /// The engine by whose end it was quarantined, if it was.
+    /// The engine whose end caused the quarantine, if it is quarantined.
     quarantined_by: Option<u32>,
 }
 
 impl Suspect {
-    /// Returns whether its run explains the end of an engine, so that it speaks against no other request.
-    /// Whatever also ran at the engine by which it was quarantined may be the cause as well.
+    /// Returns whether this request explains the end of an engine, so that the end is no evidence against
+    /// other requests. The end that caused the quarantine is not explained yet: any other request that ran at
+    /// that engine may be the cause as well.
     fn explains(&self, end: &EngineEnd, newest: u32) -> bool {
         self.quarantined_by.is_some_and(|engine| engine != newest)
             && self.ends.iter().any(|own| own.engine == end.engine)
     }
 }
 
-/// `TrialSlot` is where a suspect is tried among others that ran at the same engines as they ended.
+/// `TrialSlot` is a suspect's turn among all suspects that ran at the same engines when they ended.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct TrialSlot {
     index: usize,
@@ -124,21 +126,21 @@
 }
 
 impl TrialSlot {
-    /// Returns whether it may be tried at an upstream now. `upstream` is a number that all instances have for
-    /// the upstream, and `time` one that they agree on.
+    /// Returns whether the suspect may be tried at an upstream now. All instances must use the same number
+    /// `upstream` for the upstream, and agree on `time`.
     ///
     /// ```
     /// use anvilhook_core::fingerprints::Fingerprint;
     /// use anvilhook_core::quarantine::{EngineEnd, QuarantineTracker, QuarantineOptions};
     /// use anvilhook_core::units::{Millis, WallTime};
     ///
-    /// let mut book = QuarantineTracker::new(QuarantineOptions::default());
+    /// let mut tracker = QuarantineTracker::new(QuarantineOptions::default());
     /// for (engine, request) in [(1, 7), (1, 8), (2, 7), (2, 8)] {
-    ///     book.record_end(Fingerprint(request), EngineEnd { engine, at: Millis(0) }, Millis(0));
+    ///     tracker.record_end(Fingerprint(request), EngineEnd { engine, at: Millis(0) }, Millis(0));
     /// }
     /// let allowed = |request, time| {
-    ///     let place = book.trial_slot(Fingerprint(request), Millis(0)).unwrap();
-    ///     [0, 1].map(|upstream| place.allows(upstream, WallTime(time)))
+    ///     let slot = tracker.trial_slot(Fingerprint(request), Millis(0)).unwrap();
+    ///     [0, 1].map(|upstream| slot.allows(upstream, WallTime(time)))
     /// };
     /// assert_eq!((allowed(7, 0), allowed(8, 0)), ([true, false], [false, true]));
     /// assert_eq!(allowed(7, 3_000), [false, false]);
@@ -146,39 +148,39 @@
     /// ```
     pub fn allows(&self, upstream: u64, time: WallTime) -> bool {
         let turn = upstream.wrapping_add(time.0 / TRIAL_TURN.0);
-        // What begins late in its turn would still run in the next one's.
+        // A run that begins late in its turn would continue into the next suspect's turn.
         let is_early = time.0 % TRIAL_TURN.0 < TRIAL_TURN.0 / 2;
         is_early && turn % self.count as u64 == self.index as u64
     }
 }
 
-/// `EndOutcome` is what became of an end that was noted.
+/// `EndOutcome` is the outcome of recording an end.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EndOutcome {
-    /// It was known, or the request's runs end well.
+    /// The end was already known, or the request's runs complete successfully.
     Ignored,
-    /// It counts; the request is suspected.
+    /// The end counts; the request is suspected.
     Counted,
-    /// It is the one by which the request is quarantined.
+    /// This end causes the request's quarantine.
     Quarantined,
-    /// The request was quarantined before, and explains the end.
+    /// The request was already quarantined and explains the end.
     Explained,
 }
 
 impl QuarantineTracker {
-    /// Makes a book that suspects nothing.
+    /// Creates a tracker without suspects.
     pub fn new(options: QuarantineOptions) -> Self {
         Self {
             options,
             suspects: HashMap::new(),
-            well: HashMap::new(),
-            well_order: VecDeque::new(),
+            successes: HashMap::new(),
+            success_order: VecDeque::new(),
             ended: VecDeque::new(),
             cleared: HashMap::new(),
         }
     }
 
-    /// Returns what is held of a request.
+    /// Returns the status of a request.
     pub fn status(&self, request: Fingerprint, now: Millis) -> SuspectStatus {
         match self.suspect(request, now) {
             None => SuspectStatus::Clear,
@@ -187,23 +189,23 @@
         }
     }
 
-    /// Returns where a suspect is to be tried that the next ends would quarantine beside others: those that
-    /// ran at all the engines which ended under it. `None` if it may be tried anywhere.
+    /// Returns the trial slot of a suspect that the next ends would quarantine together with others: those
+    /// that ran at all the engines which ended under it. Returns `None` if it may be tried anywhere.
     ///
-    /// Of a service with two upstreams both go each time, and whatever was tried beside the cause meets as
-    /// many ends. All instances that know the same ends keep such suspects apart alike: each has its turn at
-    /// each upstream, also if only one is left.
+    /// If a service has two upstreams, both end each time, and a request that was tried alongside the cause
+    /// collects as many ends. All instances that know the same ends separate such suspects in the same way:
+    /// each suspect has its turn at each upstream, even if only one upstream is left.
     pub fn trial_slot(&self, request: Fingerprint, now: Millis) -> Option<TrialSlot> {
         let rivals = self.rivals(request, now);
         let index = rivals.iter().position(|rival| *rival == request)?;
         (rivals.len() > 1).then_some(TrialSlot { index, count: rivals.len() })
     }
 
-    /// Returns the suspects that ran at all the engines which ended under one of them, itself included, in
-    /// an order that all instances have; none if few have.
+    /// Returns the suspects that ran at all the engines which ended under `request`, itself included, in an
+    /// order that is the same at all instances. Returns none if too few engines have ended under it.
     pub fn rivals(&self, request: Fingerprint, now: Millis) -> Vec<Fingerprint> {
         let own = self.ends(request, now);
-        if own.len() < TRIED_APART_ENDS {
+        if own.len() < SEPARATE_TRIAL_ENDS {
             return Vec::new();
         }
         let ran_there = |ends: &[EngineEnd]| {
@@ -219,8 +221,8 @@
 
     /// Returns how many engines must have ended under a request to quarantine it.
     ///
-    /// Where engines end without a request about as they do under it, it may only have been near. All that
-    /// end since the first one under it are weighed.
+    /// Where engines end without the request about as often as under it, the request may only have run
+    /// alongside the cause. All ends since the first one under the request are compared.
     pub fn needed_ends(&self, request: Fingerprint, now: Millis) -> usize {
         let own = self.ends(request, now);
         let since = own.iter().map(|end| end.at).min().unwrap_or(now);
@@ -229,7 +231,7 @@
         if others * 2 > own.len() { self.options.ends_among_others } else { self.options.ends }
     }
 
-    fn note_ended(&mut self, end: EngineEnd, now: Millis) {
+    fn record_ended(&mut self, end: EngineEnd, now: Millis) {
         let is_old = |one: &EngineEnd| one.at + self.options.clearance <= now;
         while self.ended.front().is_some_and(is_old) || self.ended.len() >= MAX_ENDED {
             self.ended.pop_front();
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Returns the ends that speak against a request.
+    /// Returns the ends that are evidence against a request.
     pub fn ends(&self, request: Fingerprint, now: Millis) -> &[EngineEnd] {
         self.suspect(request, now).map_or(&[], |suspect| &suspect.ends)
     }
@@ -248,11 +250,11 @@
         self.suspects.get(&request).filter(|suspect| self.is_current(suspect, now))
     }
 
-    /// Notes that an engine has ended while it ran a request. Engines that end several times do so under
-    /// other short forms.
+    /// Records that an engine has ended while it ran a request. Each start of an engine has another hash, so
+    /// several ends of one engine count separately.
     pub fn record_end(&mut self, request: Fingerprint, end: EngineEnd, now: Millis) -> EndOutcome {
         self.expire(now);
-        self.note_ended(end, now);
+        self.record_ended(end, now);
         let is_cleared = self.cleared.get(&request).is_some_and(|at| end.at <= *at);
         if is_cleared || self.has_recent_success(request, now) {
             return EndOutcome::Ignored;
@@ -283,10 +285,11 @@
         }
     }
 
-    /// Takes the ends that quarantined requests explain from all others. `newest` is the engine that has
-    /// just ended.
+    /// Removes the ends that quarantined requests explain from all other suspects. `newest` is the engine that
+    /// has just ended.
     ///
-    /// What only ran beside such a request at several engines would be quarantined after it.
+    /// Otherwise a request that only ran alongside a quarantined one at several engines would be quarantined
+    /// next.
     fn explain_away(&mut self, newest: u32) {
         let quarantined: Vec<_> =
             self.suspects.values().filter(|one| one.quarantined_by.is_some()).cloned().collect();
@@ -303,34 +306,34 @@
         });
     }
 
-    /// Notes that a request's run has ended well, which clears it. Returns whether it was suspected.
+    /// Records a successful run of a request, which clears it. Returns whether it was suspected.
     pub fn record_success(&mut self, request: Fingerprint, now: Millis) -> bool {
-        while let Some((oldest, at)) = self.well_order.front().copied()
-            && (at + self.options.clearance <= now || self.well_order.len() >= self.options.most)
+        while let Some((oldest, at)) = self.success_order.front().copied()
+            && (at + self.options.clearance <= now || self.success_order.len() >= self.options.most)
         {
-            self.well_order.pop_front();
-            if self.well.get(&oldest) == Some(&at) {
-                self.well.remove(&oldest);
+            self.success_order.pop_front();
+            if self.successes.get(&oldest) == Some(&at) {
+                self.successes.remove(&oldest);
             }
         }
-        self.well.insert(request, now);
-        self.well_order.push_back((request, now));
+        self.successes.insert(request, now);
+        self.success_order.push_back((request, now));
         self.lift(request, now)
     }
 
-    /// Returns whether a run of the request has ended well so shortly ago that it is beyond suspicion.
+    /// Returns whether a run of the request succeeded so recently that new ends are ignored.
     pub fn has_recent_success(&self, request: Fingerprint, now: Millis) -> bool {
-        self.well.get(&request).is_some_and(|at| *at + self.options.clearance > now)
+        self.successes.get(&request).is_some_and(|at| *at + self.options.clearance > now)
     }
 
-    /// Notes that a quarantined request has come again, which makes its quarantine last.
+    /// Records that a quarantined request has arrived again, which prolongs its quarantine.
     pub fn record_arrival(&mut self, request: Fingerprint, now: Millis) {
         if let Some(suspect) = self.suspects.get_mut(&request) {
             suspect.seen_at = now;
         }
     }
 
-    /// Forgets what speaks against a request, as an operator wishes. Returns whether anything did.
+    /// Removes the evidence against a request, on an operator's order. Returns whether there was any.
     pub fn lift(&mut self, request: Fingerprint, now: Millis) -> bool {
         let is_known = self.suspects.remove(&request).is_some();
         if is_known && self.cleared.len() < self.options.most {
@@ -339,7 +342,7 @@
         is_known
     }
 
-    /// Returns the suspected requests with the ends that speak against them.
+    /// Returns the suspected requests with the ends that are evidence against them.
     pub fn suspects(&self, now: Millis) -> impl Iterator<Item = (Fingerprint, &[EngineEnd])> {
         let current = self.suspects.iter().filter(move |(_, one)| self.is_current(one, now));
         current.map(|(request, suspect)| (*request, suspect.ends.as_slice()))
@@ -355,7 +358,7 @@
         self.cleared.retain(|_, at| *at + memory > now);
     }
 
-    /// Forgets the suspect with the least against it if there is no room for another one.
+    /// Removes the suspect with the least evidence if there is no room for another one.
     fn make_room(&mut self) {
         if self.suspects.len() < self.options.most {
             return;
--- a/crates/anvilhook-core/tests/pacing.rs
+++ b/crates/anvilhook-core/tests/pacing.rs
@@ -30,7 +30,7 @@
         Waiting {
             age: Millis(now - self.arrived),
             objective: Millis(self.kind.objective),
-            patience: Millis(self.kind.patience),
+            wait_limit: Millis(self.kind.patience),
         }
     }
 }
@@ -200,7 +200,8 @@
 
 #[test]
 fn verify_engines_with_few_places_are_used() {
-    let waiting = Waiting { age: Millis(9_000), objective: Millis(100), patience: Millis(100_000) };
+    let waiting =
+        Waiting { age: Millis(9_000), objective: Millis(100), wait_limit: Millis(100_000) };
     for slots in [1, 2, 3] {
         let places = Slots { slots, in_flight: 0 };
         assert_eq!(pace_generating(&waiting, 20.0, 5_000.0, places), Pace::Free, "{slots}");
--- a/crates/anvilhook-gateway/src/relay/requests.rs
+++ b/crates/anvilhook-gateway/src/relay/requests.rs
@@ -182,7 +182,7 @@
         Waiting {
             age: now - self.waits_since,
             objective: self.route.objective,
-            patience: self.route.patience.min(self.give_up_at - self.waits_since),
+            wait_limit: self.route.patience.min(self.give_up_at - self.waits_since),
         }
     }
 
