--- a/crates/anvilhook-core/src/authority/decisions.rs
+++ b/crates/anvilhook-core/src/authority/decisions.rs
@@ -1,4 +1,4 @@
-//! The next step for one engine.
+//! Decides the next step for one engine of a pool.
 
 use std::collections::BTreeSet;
 
@@ -15,71 +15,71 @@
 pub struct EngineFacts<'a> {
     /// The engine.
     pub engine: &'a UpstreamName,
-    /// The kind that holds for it, see `effective_fencing`.
+    /// Its effective fencing, see `effective_fencing`.
     pub fencing: Fencing,
     /// Its state, read after the pool's row and after the acknowledgements in `drain`.
     pub state: &'a EngineState,
-    /// When the reading of the state was sent.
+    /// When the request that read the state was sent.
     pub read_at: Millis,
-    /// Since when this process has seen the former holders as they are in the row.
+    /// Since when this process has seen the set of uncleared former holders that is in the row.
     pub uncleared_since: Millis,
     /// The last order that this process gave to the engine.
     pub given: Option<GivenOrder>,
-    /// What the engine should be, as orders; those that its state meets already cost nothing.
+    /// The desired state of the engine, as orders. Orders that its state already meets are skipped.
     pub desired: &'a [Order],
-    /// How far its drain is.
+    /// The progress of its drain.
     pub drain: DrainProgress,
-    /// Whether the lease holds for long enough to give an order now.
+    /// Whether enough of the lease is left to give an order now.
     pub may_order: bool,
     /// Whether one more engine of the pool may be taken out of service.
     pub may_drain: bool,
     /// Whether the weight store has room for one more load.
     pub may_load: bool,
-    /// Whether the engine refused an order a short while ago, so that the next must wait.
+    /// Whether the engine refused an order recently, so that the next one must wait.
     pub refused_lately: bool,
 }
 
-/// `Wait` says what an engine's change waits for.
+/// `Wait` is what an engine's change waits for.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Wait {
-    /// The order runs.
+    /// The engine is carrying out an order.
     OrderRunning,
-    /// An order whose answer was lost may still arrive, until this time.
+    /// An order whose answer was lost may still arrive until this time.
     OrderInDoubt(Millis),
-    /// Former holders that may still give an order that the engine would take.
+    /// Former holders may still give an order that the engine would accept.
     Predecessor(BTreeSet<InstanceName>),
-    /// The instances that have not acknowledged the drain.
+    /// These instances have not acknowledged the drain.
     Instances(BTreeSet<InstanceName>),
-    /// The requests that the engine still reports.
+    /// The engine still reports this many requests.
     OpenRequests(u64),
-    /// The lease ends too soon for an order, until it is renewed.
+    /// The lease ends too soon for an order and must be renewed first.
     LeaseEnding,
     /// Too many engines of the pool are out of service.
     Pool,
-    /// The weight store serves as many loads as it may.
+    /// The weight store serves its maximum number of loads.
     WeightStore,
-    /// The engine refused the order and is asked again later.
+    /// The engine refused the order, which is given again later.
     Refusal,
 }
 
 /// `Decision` is the next step for one engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Decision {
-    /// The engine is as it should be.
+    /// The engine is in the desired state.
     Idle,
     /// Nothing can be done now.
     Wait(Wait),
-    /// Take a term above the one that the engine has seen.
+    /// Raise the pool's term above the one that the engine has seen.
     RaiseTerm(Term),
     /// Mark the engine as draining for a change.
     Mark,
     /// Let the engine serve again.
     Unmark,
-    /// Record the order in the table. It is given only once the record is known to stand.
+    /// Record the order in the table. It is given only after the record is confirmed.
     Record(Order),
     /// Give the recorded order.
     Give(StampedOrder),
-    /// Take the ended order from the table.
+    /// Remove the ended order from the table.
     Close,
 }
 
@@ -102,8 +102,8 @@
 
 /// Returns the next step for an engine of a pool that the caller holds by `row`.
 pub fn decide(row: &PoolRow, facts: &EngineFacts<'_>, options: &SettleOptions) -> Decision {
-    // A table that lost its rows counts terms anew; the engine has seen later ones. If instead a
-    // successor has taken the pool, the row has changed and the raise fails.
+    // If a table loses its rows, terms start again, and the engine has seen later ones. If instead a
+    // successor has taken the pool, the row has changed and the write of the raised term fails.
     let seen = facts.state.last_stamp.term;
     if seen > row.term {
         return Decision::RaiseTerm(seen);
@@ -123,7 +123,7 @@
     }
 }
 
-/// Returns the next step where no order is open.
+/// Returns the next step for an engine that has no open order.
 fn decide_next(row: &PoolRow, facts: &EngineFacts<'_>) -> Decision {
     if facts.state.running_order.is_some() {
         return Decision::Wait(Wait::OrderRunning);
@@ -134,7 +134,7 @@
         return if marked { Decision::Unmark } else { Decision::Idle };
     };
 
-    // With no order open the engine may serve while its change waits for something that can take
+    // While no order is open, the engine may serve until its change can proceed, since the wait may be
     // long.
     let unmark_or = |wait| if marked { Decision::Unmark } else { Decision::Wait(wait) };
     if facts.fencing == Fencing::Ignores && !row.uncleared.is_empty() {
--- a/crates/anvilhook-core/src/authority/load_slots.rs
+++ b/crates/anvilhook-core/src/authority/load_slots.rs
@@ -1,4 +1,4 @@
-//! The weight store's limit, shared by all holders.
+//! Limits the loads from the weight store, over all holders of pools.
 
 use std::collections::BTreeSet;
 
@@ -6,19 +6,19 @@
 
 use crate::names::{PoolName, UpstreamName};
 
-/// `LoadSlot` is one load under way.
+/// `LoadSlot` is the slot of one load in progress.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 pub struct LoadSlot {
     /// The engine's pool.
     pub pool: PoolName,
-    /// The engine that loads.
+    /// The engine that is loading.
     pub engine: UpstreamName,
 }
 
-/// `LoadSlots` is the row that counts the loads under way over all pools.
+/// `LoadSlots` is the row that counts the loads in progress over all pools.
 ///
-/// A slot is taken in the transaction that records the order and given back in the one that closes
-/// it, so that a holder that ends in between leaves both to its successor, and a slot never leaks.
+/// A slot is taken in the transaction that records the order and freed in the one that closes the
+/// order. If a holder ends in between, its successor finds both, so a slot never leaks.
 ///
 /// ```
 /// use anvilhook_core::authority::{LoadSlot, LoadSlots};
@@ -33,7 +33,7 @@
 /// ```
 #[derive(Clone, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct LoadSlots {
-    /// The loads under way.
+    /// The loads in progress.
     pub taken: BTreeSet<LoadSlot>,
 }
 
--- a/crates/anvilhook-core/src/authority/mod.rs
+++ b/crates/anvilhook-core/src/authority/mod.rs
@@ -1,9 +1,9 @@
 //! Authority over the engines of a pool: who may give orders, and which order may be given next.
 //!
-//! Everything that a successor must know lies in one row of the table, a `PoolRow`. Each change of
-//! it is a compare-and-set on the row's version, so a holder that has been replaced can change
-//! nothing more; and an order is recorded there before it is given, so a successor sees every order
-//! that may still be on its way.
+//! Everything that a successor must know is in one row of the table, a `PoolRow`. Each change of the
+//! row is a compare-and-set on its version, so a holder that has been replaced can't change it any
+//! more. An order is recorded there before it is given, so a successor sees every order that may
+//! still arrive.
 
 mod decisions;
 mod evidence;
--- a/crates/anvilhook-core/src/authority/owners.rs
+++ b/crates/anvilhook-core/src/authority/owners.rs
@@ -1,9 +1,9 @@
-//! Which pool may order the engine at an address.
+//! Decides which pool may give orders to the engine at an address.
 //!
-//! Authority is a lease for each pool, so it says nothing of an engine that an operator moves to
-//! another pool: for as long as instances go by different configurations, the holders of both pools
-//! could order it. The engine's own row says which of them may. It stands among the conditions of
-//! each transaction that records an order, and changes hands in one.
+//! Each pool has its own lease, which does not cover an engine that an operator moves to another pool:
+//! while instances use different configurations, the holders of both pools could give it orders. The
+//! engine's own row records which of them may. Each transaction that records an order has this row
+//! among its conditions, and the engine is handed over in one transaction.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 use crate::resources::Fencing;
 use crate::units::Revision;
 
-/// `OrderTarget` is where an order goes. It is kept with the order, because the engine's
-/// declaration may change or go while the order is on its way.
+/// `OrderTarget` is where an order is sent. It is stored with the order, because the engine's
+/// declaration may change or be removed before the order arrives.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct OrderTarget {
-    /// Where the engine listens.
+    /// The address at which the engine listens.
     pub address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
@@ -28,58 +28,59 @@
     pub fencing: Fencing,
 }
 
-/// `EngineOwner` is the pool that may order the engine at an address, as it is stored.
+/// `EngineOwner` is the stored record of the pool that may give orders to the engine at an address.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineOwner {
     /// The pool.
     pub pool: PoolName,
-    /// The engine's name in it, under which its open order is found in the pool's row.
+    /// The engine's name in the pool, under which the pool's row lists its open order.
     pub engine: UpstreamName,
-    /// The revision of the declaration by which the pool took the engine.
+    /// The revision of the declaration under which the pool took the engine.
     pub declared_at: Revision,
 }
 
-/// `Claim` says how a pool may order an engine.
+/// `Claim` is the way in which a pool may give orders to an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Claim {
-    /// It owns the engine already.
+    /// The pool already owns the engine.
     Held,
-    /// No pool has ordered the engine before.
+    /// No pool has given orders to the engine before.
     First,
-    /// Another pool, or another name in this one, can give no more orders by what its row says.
+    /// The former owner is another pool, or another name in this one, and its row shows that it can give
+    /// no more orders.
     HandOver,
 }
 
-/// `ClaimRefusal` says why a pool may not order an engine.
+/// `ClaimRefusal` is the reason why a pool may not give orders to an engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum ClaimRefusal {
-    /// The owner took the engine by a later declaration; this instance's configuration lags.
+    /// The owner took the engine under a later declaration; this instance's configuration lags.
     DeclaredLater,
-    /// An order of the owner is not known to be done or dead.
+    /// An order of the owner may still be running or arrive.
     OpenOrder(Stamp),
-    /// Former holders of the owner may still give an order that the engine would take.
+    /// Former holders of the owner may still give an order that the engine would accept.
     Predecessor(BTreeSet<InstanceName>),
 }
 
 impl EngineOwner {
-    /// Returns how `self` may order the engine. `standing` is the owner as stored, `former` the row
-    /// of its pool, and `fencing` the engine's effective kind.
+    /// Returns how `self` may give orders to the engine. `stored` is the owner as stored, `former` the
+    /// row of its pool, and `fencing` the engine's effective fencing.
     ///
     /// # Errors
     ///
-    /// Says why it may not.
+    /// `ClaimRefusal` if it may not.
     pub fn claim(
         &self,
-        standing: Option<&EngineOwner>,
+        stored: Option<&EngineOwner>,
         former: Option<&PoolRow>,
         fencing: Fencing,
     ) -> Result<Claim, ClaimRefusal> {
-        let Some(owner) = standing else { return Ok(Claim::First) };
+        let Some(owner) = stored else { return Ok(Claim::First) };
         if owner.pool == self.pool && owner.engine == self.engine {
             return Ok(Claim::Held);
         }
-        // Without this an instance whose configuration lags would take the engine back, and the two
-        // pools would change it to and fro.
+        // Otherwise an instance whose configuration lags would take the engine back, and the two pools
+        // would keep changing its owner.
         if owner.declared_at >= self.declared_at {
             return Err(ClaimRefusal::DeclaredLater);
         }
@@ -95,21 +96,21 @@
 }
 
 impl PoolRow {
-    /// Returns the row in which the next order to an engine follows all that it has seen. `seen` is
-    /// the engine's highest stamp, read after the owner's row was.
+    /// Returns the row under which the next order to an engine has a higher stamp than all that the
+    /// engine has seen. `seen` is the engine's highest stamp, read after the owner's row.
     ///
-    /// The terms of two pools are counted apart. An engine that has seen an equal term of another
-    /// pool would refuse the first orders of this one, and one would see them recorded and closed
-    /// without an effect again and again.
+    /// Each pool counts its terms separately. An engine that has seen an equal term of another pool would
+    /// refuse the first orders of this one, which would be recorded and closed without effect again and
+    /// again.
     pub fn claim_engine(&self, claim: Claim, former: Option<&PoolRow>, seen: Stamp) -> PoolRow {
         match claim {
             Claim::Held => self.clone(),
             Claim::First if seen == Stamp::default() || seen.term < self.term => self.clone(),
             Claim::First => self.raise(seen.term),
             Claim::HandOver => {
-                // An engine that checks is handed over while former holders are fenced off only. If
-                // it forgets its fence later, they must be waited for here. The new term keeps an
-                // acknowledgement from before the hand-over from clearing them.
+                // An engine that checks is handed over even if former holders are only fenced off. If it loses
+                // its fence later, this pool must wait for them too. Because of the new term, an acknowledgement
+                // from before the hand-over does not clear them.
                 let mut row = self.raise(seen.term);
                 row.uncleared.extend(former.into_iter().flat_map(|row| row.uncleared.clone()));
                 if let Some(holder) = &self.holder {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Returns the row that records an order with where it goes, see `record`.
+    /// Returns the row that records an order together with its target, see `record`.
     pub fn record_for(
         &self,
         engine: &UpstreamName,
