--- a/crates/anvilhook-authority/src/engines.rs
+++ b/crates/anvilhook-authority/src/engines.rs
@@ -317,7 +317,7 @@
             may_order,
             may_drain,
             may_load: self.slots.has_room(self.options.max_loads),
-            refused_lately: memory.refused_until.is_some_and(|until| now < until),
+            recently_refused: memory.refused_until.is_some_and(|until| now < until),
         };
         let decision = decide(&pool.row, &facts, &self.options.settle);
         if plan.engine(&engine.name).is_some() {
--- a/crates/anvilhook-authority/src/pools.rs
+++ b/crates/anvilhook-authority/src/pools.rs
@@ -271,7 +271,7 @@
         }
         if self.write(table, next, slots, SlotChange::default(), now).await? {
             for name in marked {
-                self.planners.entry(name).or_default().marked(now);
+                self.planners.entry(name).or_default().record_marked(now);
             }
         }
         Ok(())
--- a/crates/anvilhook-authority/src/takeovers.rs
+++ b/crates/anvilhook-authority/src/takeovers.rs
@@ -140,7 +140,7 @@
         let Some(stored) = rows::read::<SessionRow>(&services.table, &key).await? else {
             return Ok(ended);
         };
-        if !stored.value.keeps(holder) {
+        if !stored.value.is_active_for(holder) {
             return Ok(ended);
         }
         // The time after the answer came, see `Watch::observe`.
--- a/crates/anvilhook-core/src/authority/decisions.rs
+++ b/crates/anvilhook-core/src/authority/decisions.rs
@@ -36,7 +36,7 @@
     /// Whether the weight store has room for one more load.
     pub may_load: bool,
     /// Whether the engine refused an order recently, so that the next one must wait.
-    pub refused_lately: bool,
+    pub recently_refused: bool,
 }
 
 /// `Wait` is what an engine's change waits for.
@@ -140,7 +140,7 @@
     if facts.fencing == Fencing::Ignores && !row.uncleared.is_empty() {
         return unmark_or(Wait::Predecessor(row.uncleared.clone()));
     }
-    if facts.refused_lately {
+    if facts.recently_refused {
         return unmark_or(Wait::Refusal);
     }
     if matches!(wanted, Order::LoadModel { .. }) && !facts.may_load {
--- a/crates/anvilhook-core/src/caches/followers.rs
+++ b/crates/anvilhook-core/src/caches/followers.rs
@@ -1,14 +1,14 @@
-//! Following one engine's cache events.
+//! Follows the cache events of one engine.
 
 use super::indices::{CacheSlot, PrefixIndex};
 use crate::reports::{CacheChange, CacheEventPage};
 
-/// The events that may be missed at once without voiding what is believed of the engine.
+/// The maximum number of consecutive missed events that does not invalidate the cached state of the engine.
 ///
-/// Any missed event may have been an eviction. But a wrong belief costs one prompt read in full, and
-/// is put right by the next event about its block, while voiding costs the belief in all others, and
-/// prompts that are cached there would be read again elsewhere.
-const MOST_MISSED: u64 = 256;
+/// Any missed event may have been an eviction. But a wrong entry costs only one full prefill of a prompt
+/// and is corrected by the next event about its block. Invalidating would lose all other entries, and
+/// prompts that are cached at the engine would be prefilled again elsewhere.
+const MAX_MISSED_EVENTS: u64 = 256;
 
 /// `CacheFollower` applies the pages of one engine's cache events to a prefix index.
 ///
@@ -32,26 +32,26 @@
 }
 
 impl CacheFollower {
-    /// Follows the engine of a slot, of which nothing is known yet.
+    /// Creates a follower for the engine of a slot, before any of its events are known.
     pub fn new(slot: CacheSlot) -> Self {
         Self { slot, boot: None, last_seq: 0, gaps: 0 }
     }
 
-    /// Returns the number after which the next page should be asked for.
+    /// Returns the sequence number after which the next page must begin.
     pub fn next_after(&self) -> u64 {
         self.last_seq
     }
 
-    /// Returns how many gaps there were.
+    /// Returns how many gaps in the events were found.
     pub fn gaps(&self) -> u64 {
         self.gaps
     }
 
-    /// Applies a page.
+    /// Applies a page of events to the index.
     pub fn apply(&mut self, page: &CacheEventPage, index: &PrefixIndex) {
         if self.boot != Some(page.boot) {
-            // The process has started anew with an empty cache. A page that was asked for with
-            // the old process's number is of no use; the next one begins at the start.
+            // The process was restarted with an empty cache. A page that was requested with the old
+            // process's number is useless; the next request begins at the start.
             let is_first = self.boot.is_none();
             index.void(self.slot);
             self.boot = Some(page.boot);
@@ -66,7 +66,7 @@
             }
             let missed = event.seq - self.last_seq - 1;
             self.gaps += u64::from(missed > 0);
-            if missed > MOST_MISSED {
+            if missed > MAX_MISSED_EVENTS {
                 index.void(self.slot);
             }
             self.last_seq = event.seq;
--- a/crates/anvilhook-core/src/caches/indices.rs
+++ b/crates/anvilhook-core/src/caches/indices.rs
@@ -1,27 +1,27 @@
-//! A fixed table of believed prefix holders, read and written without locks.
+//! A fixed-size table of assumed prefix holders, read and written without locks.
 
 use std::sync::atomic::{AtomicU16, AtomicU64, Ordering};
 
 use crate::reports::PrefixHash;
 
-/// Entries that share a bucket: one line of a processor's cache.
+/// The number of entries in a bucket, which fills one cache line of the processor.
 const WAYS: usize = 8;
 
-/// The most engines for which `PrefixIndex::holders` follows the prefix.
+/// The maximum number of engines for which `PrefixIndex::holders` follows the prefix.
 const MAX_HOLDERS: usize = 16;
 
-/// The most blocks of a prompt that one look-up visits. Longer prompts are visited in strides.
+/// The maximum number of a prompt's blocks that one lookup visits. Longer prompts are visited in strides.
 const MAX_VISITS: usize = 64;
 
-/// The blocks in a row that the index may not know although the engine holds them, because their
-/// bucket was full.
+/// The maximum number of consecutive blocks that may be missing from the index although the engine
+/// holds them, because their bucket was full.
 const MAX_MISSED_BLOCKS: u32 = 1;
 
 /// `CacheSlot` is an engine's number in a prefix index.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct CacheSlot(pub u16);
 
-/// `Holder` is an engine that is believed to hold the beginning of a prompt.
+/// `Holder` is an engine that is assumed to hold the beginning of a prompt.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Holder {
     /// The engine.
@@ -30,7 +30,7 @@
     pub blocks: u32,
 }
 
-/// `Holders` is the short list that a look-up returns, without allocating.
+/// `Holders` is the result of a lookup, a short list that needs no allocation.
 #[derive(Clone, Copy, Debug)]
 pub struct Holders {
     list: [Holder; MAX_HOLDERS],
@@ -52,8 +52,8 @@
     }
 }
 
-/// `PrefixIndex` holds (block, engine) pairs in buckets of eight. Where a bucket is full a new pair
-/// takes the place of another: belief is lost, which costs time and nothing else.
+/// `PrefixIndex` holds (block, engine) pairs in buckets of eight. If a bucket is full, a new pair
+/// replaces another one. A lost pair costs time and nothing else.
 ///
 /// ```
 /// use anvilhook_core::caches::{CacheSlot, PrefixIndex};
@@ -78,7 +78,7 @@
 }
 
 impl PrefixIndex {
-    /// Makes an empty index for a number of engines, with room for about `capacity` pairs.
+    /// Creates an empty index for a number of engines, with room for about `capacity` pairs.
     pub fn new(engines: usize, capacity: usize) -> Self {
         let buckets = capacity.div_ceil(WAYS).next_power_of_two();
         Self {
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Believes from now on that the engine holds the block.
+    /// Records that the engine holds the block.
     pub fn store(&self, slot: CacheSlot, block: PrefixHash) {
         let Some(entry) = self.entry(slot, block) else { return };
         let bucket = self.bucket(block);
@@ -95,12 +95,12 @@
             let held = cell.load(Ordering::Acquire);
             held == entry || self.is_void(held)
         });
-        // Any other place does; taking it by the block's hash spreads the losses.
+        // Any other cell will do; choosing it by the block's hash distributes the losses.
         let cell = free.unwrap_or(&bucket[(mix(block) >> 29) as usize % WAYS]);
         cell.store(entry, Ordering::Release);
     }
 
-    /// Believes no longer that the engine holds the block.
+    /// Records that the engine no longer holds the block.
     pub fn evict(&self, slot: CacheSlot, block: PrefixHash) {
         let Some(entry) = self.entry(slot, block) else { return };
         for cell in self.bucket(block) {
@@ -108,14 +108,14 @@
         }
     }
 
-    /// Forgets all that is believed of an engine.
+    /// Invalidates all entries of an engine.
     pub fn void(&self, slot: CacheSlot) {
         if let Some(generation) = self.generations.get(usize::from(slot.0)) {
             generation.fetch_add(1, Ordering::AcqRel);
         }
     }
 
-    /// Returns which engines are believed to hold the prompt's beginning, and how much of it.
+    /// Returns which engines are assumed to hold the prompt's beginning, and how much of it.
     pub fn holders(&self, blocks: &[PrefixHash]) -> Holders {
         let mut holders = Holders::NONE;
         let mut missed = 0;
@@ -128,7 +128,7 @@
                     reached |= holders.extend(slot_of(entry), visit as u32, stride as u32);
                 }
             }
-            // Later blocks are of no use without this one, if it is really not there.
+            // If this block is really missing at the engine, later blocks are of no use.
             missed = if reached { 0 } else { missed + 1 };
             if missed > MAX_MISSED_BLOCKS {
                 break;
@@ -162,8 +162,8 @@
 }
 
 impl Holders {
-    /// Counts the block at `visit` for an engine that holds all visited before it. Returns whether
-    /// it does.
+    /// Counts the block at `visit` for an engine that holds all blocks visited before it. Returns
+    /// whether the engine does hold them.
     fn extend(&mut self, slot: CacheSlot, visit: u32, stride: u32) -> bool {
         let known = self.list[..self.len].iter_mut().find(|holder| holder.slot == slot);
         match known {
@@ -190,7 +190,7 @@
     mix(block) >> 32
 }
 
-// Spreads hashes that an engine draws from a small range, by Fibonacci hashing.
+// Distributes hashes that an engine draws from a small range, by Fibonacci hashing.
 fn mix(block: PrefixHash) -> u64 {
     let mixed = block.0.wrapping_mul(0x9e37_79b9_7f4a_7c15);
     mixed ^ (mixed >> 29)
--- a/crates/anvilhook-core/src/caches/mod.rs
+++ b/crates/anvilhook-core/src/caches/mod.rs
@@ -1,8 +1,8 @@
-//! Which engine is believed to hold which prefix.
+//! Estimates which engine holds which prefix in its cache.
 //!
-//! Engines publish the changes of their prefix caches late and with gaps, so all of this is belief:
-//! a wrong one costs the time of reading a prompt again, never a wrong answer. What was learnt
-//! before a long gap or before a new start of the engine's process is void.
+//! Engines publish the changes of their prefix caches late and with gaps, so the index is only an
+//! estimate: a wrong entry costs the time to prefill a prompt again, but never causes a wrong answer.
+//! Entries from before a long gap or before a restart of the engine's process are invalid.
 
 mod followers;
 mod indices;
--- a/crates/anvilhook-core/src/drains/acknowledgements.rs
+++ b/crates/anvilhook-core/src/drains/acknowledgements.rs
@@ -1,4 +1,4 @@
-//! Acknowledgements of drains, and what is still missing of one.
+//! Acknowledgements of drains, and which of them are missing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,42 +7,42 @@
 use super::marks::DrainMark;
 use crate::names::{InstanceName, PoolName, UpstreamName};
 
-/// `PoolAck` is what one instance says of the draining engines of one pool: for each at which it has
-/// nothing in flight, the generation since which that engine drains. The instance sends nothing
-/// there until it goes by a later generation in which the engine serves again.
+/// `PoolAck` is one instance's acknowledgement of the draining engines of one pool. For each engine at
+/// which the instance has nothing in flight, it holds the generation since which that engine drains. The
+/// instance sends nothing there until it uses a later generation in which the engine serves again.
 pub type PoolAck = BTreeMap<UpstreamName, u64>;
 
-/// `DrainAck` is all that one instance acknowledges. It crosses the peer link or is stored in the
-/// table.
+/// `DrainAck` contains all acknowledgements of one instance. It is sent over the peer link or stored in
+/// the table.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct DrainAck {
-    /// Who acknowledges.
+    /// The instance that acknowledges.
     pub instance: InstanceName,
-    /// What it says of each pool.
+    /// Its acknowledgement for each pool.
     pub pools: BTreeMap<PoolName, PoolAck>,
 }
 
 impl DrainAck {
     /// Returns whether this acknowledges the drain of an engine by the given mark. An
-    /// acknowledgement of an earlier drain of the engine does not: it has served in between.
+    /// acknowledgement of an earlier drain does not count: the engine has served in between.
     pub fn clears(&self, pool: &PoolName, engine: &UpstreamName, mark: &DrainMark) -> bool {
         self.pools.get(pool).and_then(|ack| ack.get(engine)) == Some(&mark.since)
     }
 }
 
-/// `DrainProgress` says how far the drain of one engine is.
+/// `DrainProgress` is the progress of one engine's drain.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum DrainProgress {
     /// The engine is not marked.
     NotMarked,
     /// These instances have not acknowledged.
     AwaitingInstances(BTreeSet<InstanceName>),
-    /// All have acknowledged; the engine's own state must agree.
+    /// All have acknowledged; the engine's own state must confirm it.
     Acknowledged,
 }
 
-/// Returns how far the drain of an engine is. `required` are the instances that must acknowledge, and
-/// `acknowledges` says whether one of them has acknowledged the mark.
+/// Returns the progress of an engine's drain. `required` are the instances that must acknowledge, and
+/// `acknowledges` returns whether one of them has acknowledged the mark.
 pub fn progress<'a>(
     mark: Option<&DrainMark>,
     required: impl IntoIterator<Item = &'a InstanceName>,
@@ -50,9 +50,10 @@
 ) -> DrainProgress {
     let Some(mark) = mark else { return DrainProgress::NotMarked };
 
-    // An instance that has said nothing is a veto, not a yes.
-    let silent = |name: &&InstanceName| !acknowledges(name, mark);
-    let missing: BTreeSet<InstanceName> = required.into_iter().filter(silent).cloned().collect();
+    // A missing acknowledgement blocks the drain; it never counts as consent.
+    let unacknowledged = |name: &&InstanceName| !acknowledges(name, mark);
+    let missing: BTreeSet<InstanceName> =
+        required.into_iter().filter(unacknowledged).cloned().collect();
     if missing.is_empty() {
         DrainProgress::Acknowledged
     } else {
--- a/crates/anvilhook-core/src/drains/followers.rs
+++ b/crates/anvilhook-core/src/drains/followers.rs
@@ -1,4 +1,4 @@
-//! What every instance does about the drains that others order.
+//! Follows the drains that are ordered by other instances; every instance does this.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,26 @@
 use super::marks::{DrainMark, DrainMarks};
 use crate::names::{InstanceName, PoolName, UpstreamName};
 
-/// `FollowedPool` is the newest generation of a pool's marks that an instance goes by.
+/// `FollowedPool` is the newest generation of a pool's drain marks that an instance has adopted.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct FollowedPool {
     /// The generation.
     pub generation: u64,
-    /// The engines that drain, each with the generation since which it does.
+    /// The draining engines, each with the generation since which it drains.
     pub draining: BTreeMap<UpstreamName, u64>,
 }
 
-/// `DrainFollower` keeps which engines an instance must not route to, and what it may acknowledge.
+/// `DrainFollower` tracks which engines an instance must not route to, and which drains it may
+/// acknowledge.
 #[derive(Clone, Debug, Default)]
 pub struct DrainFollower {
     pools: BTreeMap<PoolName, FollowedPool>,
 }
 
 impl DrainFollower {
-    /// Adopts marks as they were read, and returns whether they are newer. Older marks change
-    /// nothing: an answer of the table may be overtaken by another, and going back would route to
-    /// an engine whose drain has been acknowledged.
+    /// Adopts marks that were read, and returns whether they are newer. Older marks change nothing: an
+    /// answer of the table may be overtaken by a later one, and going back would route requests to an
+    /// engine whose drain has been acknowledged.
     pub fn adopt(&mut self, pool: &PoolName, marks: &DrainMarks) -> bool {
         let known = self.pools.entry(pool.clone()).or_default();
         if marks.generation <= known.generation {
@@ -41,14 +42,14 @@
         self.pools.values().any(|pool| pool.draining.contains_key(engine))
     }
 
-    /// Returns all engines that drain.
+    /// Returns all draining engines.
     pub fn draining(&self) -> impl Iterator<Item = &UpstreamName> {
         self.pools.values().flat_map(|pool| pool.draining.keys())
     }
 
-    /// Returns what the instance may acknowledge. The caller must have made its routing go by the
-    /// adopted marks before `open_requests` reads the counts; else a request that was routed by
-    /// older marks begins after the count was read as zero, and the change cuts it.
+    /// Returns the drains that the instance may acknowledge. The caller must route by the adopted marks
+    /// before `open_requests` reads the counts. Otherwise a request that was routed by older marks could
+    /// begin after its engine's count was read as zero, and would be cut off by the change.
     pub fn ack(
         &self,
         instance: &InstanceName,
--- a/crates/anvilhook-core/src/drains/marks.rs
+++ b/crates/anvilhook-core/src/drains/marks.rs
@@ -1,4 +1,4 @@
-//! The marks that say which engines of a pool drain.
+//! The marks that record which engines of a pool drain.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,14 @@
 
 use crate::names::{ResourceName, UpstreamName};
 
-/// `DrainCause` says why an engine drains. An engine may drain for several causes at once, and
+/// `DrainCause` is the cause of an engine's drain. An engine may drain for several causes at once, and
 /// serves again when none is left.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum DrainCause {
-    /// An order is to be given to it.
+    /// An order is to be given to the engine.
     Change,
-    /// A drain plan takes it out of service.
+    /// A drain plan takes the engine out of service.
     Plan(ResourceName),
 }
 
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct DrainMark {
     /// The generation at which the engine began to drain. An acknowledgement of an earlier
-    /// generation says nothing of it: the engine may have served in between.
+    /// generation is no evidence: the engine may have served in between.
     pub since: u64,
-    /// Why it drains.
+    /// The causes of the drain.
     pub causes: BTreeSet<DrainCause>,
 }
 
@@ -54,7 +54,7 @@
     /// Marks an engine as draining for a cause.
     pub fn mark(&mut self, engine: &UpstreamName, cause: DrainCause) {
         if let Some(mark) = self.engines.get_mut(engine) {
-            // The engine already drains: what has been acknowledged of it still holds.
+            // The engine already drains, so the acknowledgements of its drain are still valid.
             mark.causes.insert(cause);
             return;
         }
@@ -63,7 +63,7 @@
         self.engines.insert(engine.clone(), mark);
     }
 
-    /// Takes a cause from an engine, which serves again if it was the last one.
+    /// Removes a cause from an engine, which serves again if it was the last one.
     pub fn unmark(&mut self, engine: &UpstreamName, cause: &DrainCause) {
         let Some(mark) = self.engines.get_mut(engine) else { return };
         mark.causes.remove(cause);
--- a/crates/anvilhook-core/src/drains/mod.rs
+++ b/crates/anvilhook-core/src/drains/mod.rs
@@ -1,9 +1,9 @@
-//! Drains: taking work off an engine before it is changed, without cutting a request.
+//! Drains: taking work off an engine before it is changed, without cutting off a request.
 //!
-//! An engine is marked as draining in the table, at a generation. Every announced instance that
-//! has read the mark routes nothing more there and, once none of its own requests is in flight,
-//! acknowledges the generation. Only when all have done so, and the engine's state read after that
-//! shows no open request, is the engine drained.
+//! An engine is marked as draining in the table, at a generation. Every announced instance that has read
+//! the mark routes no new requests to the engine. Once it has no request in flight there, it
+//! acknowledges the generation. The engine is drained only when all instances have acknowledged and the
+//! engine's state, read after that, shows no open request.
 
 mod acknowledgements;
 mod followers;
--- a/crates/anvilhook-core/src/drains/plans.rs
+++ b/crates/anvilhook-core/src/drains/plans.rs
@@ -1,4 +1,4 @@
-//! The pace at which drain plans take engines out of service.
+//! Limits how fast drain plans take engines out of service.
 
 use std::collections::BTreeSet;
 
@@ -6,14 +6,14 @@
 use crate::resources::{DrainPlanSpec, DrainTarget};
 use crate::units::Millis;
 
-/// `EngineView` is what the planner needs to know of one engine of the pool.
+/// `EngineView` is the planner's view of one engine of the pool.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineView {
     /// The engine.
     pub name: UpstreamName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Whether it is marked as draining, for whatever cause.
+    /// Whether it is marked as draining, for any cause.
     pub marked: bool,
     /// Whether it is marked for this plan.
     pub planned: bool,
@@ -21,36 +21,36 @@
     pub drained: bool,
 }
 
-/// `PlanRefusal` says why a plan takes no further engine now.
+/// `PlanRefusal` is the reason why a plan takes no further engine out of service now.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum PlanRefusal {
     /// All engines of the plan are marked.
     AllMarked,
-    /// As many engines drain as the plan allows at once.
+    /// The maximum number of engines that the plan allows to drain at once is reached.
     MaxAtOnce,
     /// The pace allows the next engine at this time.
     Pace(Millis),
-    /// One engine less would leave too few serving.
+    /// With one engine less, too few would be serving.
     MinServing,
     /// Another zone's engines are still draining.
     ZoneDraining(ZoneName),
 }
 
-/// `DrainPlanner` keeps a plan's pace.
+/// `DrainPlanner` applies a plan's limits and its pace.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct DrainPlanner {
     last_marked_at: Option<Millis>,
 }
 
 impl DrainPlanner {
-    /// Makes a planner. A holder that takes over passes the time of its take-over, as it does not
+    /// Creates a planner. A holder that takes over passes the time of its take-over, as it does not
     /// know when its predecessor began the last drain.
     pub fn new(last_marked_at: Option<Millis>) -> Self {
         Self { last_marked_at }
     }
 
-    /// Notes that an engine was marked for the plan.
-    pub fn marked(&mut self, now: Millis) {
+    /// Records that an engine was marked for the plan.
+    pub fn record_marked(&mut self, now: Millis) {
         self.last_marked_at = Some(now);
     }
 
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Says why there is none now.
+    /// `PlanRefusal` if no engine may be marked now.
     pub fn next(
         &self,
         plan: &DrainPlanSpec,
@@ -76,7 +76,7 @@
         if let Some(next_at) = next_at.filter(|next_at| now < *next_at) {
             return Err(PlanRefusal::Pace(next_at));
         }
-        // An engine that drains for another cause does not serve, and taking it costs nothing.
+        // An engine that drains for another cause is not serving, so marking it too costs nothing.
         let serving = engines.iter().filter(|engine| !engine.marked).count();
         let must_serve = plan.min_serving.max(min_serving) as usize;
         if !next.marked && serving <= must_serve {
@@ -97,7 +97,7 @@
             let targets = engines.iter().filter(|engine| wanted.contains(&engine.name));
             let mut open = targets.clone().filter(|engine| !engine.planned);
             let next = open.next().ok_or(PlanRefusal::AllMarked)?;
-            // Named engines may lie in several zones, and of these too only one drains at a time.
+            // Named engines may be in several zones; of these, too, only one zone drains at a time.
             let busy = targets.clone().find(|engine| engine.planned && !engine.drained);
             let in_busy_zone = busy.map_or(Some(next), |busy| {
                 targets.clone().find(|engine| !engine.planned && engine.zone == busy.zone)
--- a/crates/anvilhook-core/src/leases/sessions.rs
+++ b/crates/anvilhook-core/src/leases/sessions.rs
@@ -38,7 +38,7 @@
 
 impl SessionRow {
     /// Returns whether this row says that a session goes on.
-    pub fn keeps(&self, session: &SessionRef) -> bool {
+    pub fn is_active_for(&self, session: &SessionRef) -> bool {
         self.session == *session && !self.ended
     }
 
@@ -148,7 +148,8 @@
             self.version = Some(version);
             return SessionStatus::Active;
         }
-        if Some(version) == self.version && (row.keeps(self.session()) || self.good_from.is_none())
+        if Some(version) == self.version
+            && (row.is_active_for(self.session()) || self.good_from.is_none())
         {
             return SessionStatus::Active;
         }
--- a/crates/anvilhook-core/tests/authority_search/steps.rs
+++ b/crates/anvilhook-core/tests/authority_search/steps.rs
@@ -210,7 +210,7 @@
         let other = instance_index(&holder.instance);
         let (session, at) = &world.sessions[other];
         let lapsed = instance.watches[other].observe(session, *at, world.now, &lease_options());
-        view = match (session.keeps(holder), lapsed) {
+        view = match (session.is_active_for(holder), lapsed) {
             (false, _) => SessionView::Ended,
             (true, true) => SessionView::Lapsed,
             (true, false) => SessionView::Running,
@@ -263,7 +263,7 @@
             || instance.own.may_order(world.now, &lease_options()),
         may_drain: true,
         may_load: true,
-        refused_lately: false,
+        recently_refused: false,
     };
     let options = SettleOptions { delivery_bound_ms: DELIVERY_BOUND };
     let decision = decide(&row, &facts, &options);
