--- a/crates/anvilhook-core/src/admission.rs
+++ b/crates/anvilhook-core/src/admission.rs
@@ -1,17 +1,17 @@
-//! Admission: what is started, and what is refused at once as not run.
+//! Admission: decides whether a request is started or refused at once, without having run.
 //!
-//! A request that cannot be answered in time is refused when it arrives, not after it has taken an
-//! engine's time from those that could. Nothing waits here: engines order what waits by priority.
+//! A request that cannot be answered in time is refused when it arrives, before it takes engine time from
+//! requests that could be. Nothing waits here: engines order waiting work by priority.
 
 use crate::units::Millis;
 
-/// `AdmissionOptions` says how sure admission has to be.
+/// `AdmissionOptions` sets the safety margins of admission.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionOptions {
-    /// The time that an answer takes on its way back.
+    /// The time that an answer takes to travel back.
     pub margin: Millis,
     /// The error of the estimate, as a share of it. Work that ends late takes engine time from work
-    /// that would not, so doubt is better resolved against it.
+    /// that would be on time, so in doubt a request is refused.
     pub estimate_error: f64,
 }
 
@@ -26,9 +26,9 @@
 pub enum Admission {
     /// It can be answered in time by the chosen upstream.
     Run,
-    /// It cannot be answered in time. It has not run.
+    /// It cannot be answered in time and has not run.
     Refuse {
-        /// When a request like it could be answered in time, if load stays as it is.
+        /// When a similar request could be answered in time if the load stays the same.
         retry_after: Millis,
     },
 }
--- a/crates/anvilhook-core/src/api_keys.rs
+++ b/crates/anvilhook-core/src/api_keys.rs
@@ -1,4 +1,4 @@
-//! API keys: which client account a caller's key belongs to, without the keys themselves.
+//! API keys: finds the client account of a caller's key without storing the keys themselves.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt;
@@ -7,10 +7,10 @@
 use subtle::ConstantTimeEq;
 use zeroize::Zeroizing;
 
-/// The length of a digest and of the secret behind it, in bytes.
+/// The length of a digest and of the hasher's secret, in bytes.
 pub const DIGEST_BYTES: usize = 32;
 
-/// `KeyDigest` stands for an API key. It is compared in a time that doesn't depend on where it differs.
+/// `KeyDigest` is the keyed hash of an API key. Comparing two digests takes constant time.
 #[derive(Clone, Copy, Eq)]
 pub struct KeyDigest([u8; DIGEST_BYTES]);
 
@@ -32,16 +32,16 @@
     }
 }
 
-/// `KeyHasher` makes digests of API keys, by a secret that never leaves the process.
+/// `KeyHasher` computes digests of API keys with a secret that never leaves the process.
 ///
-/// Whoever can read a digest, or time a comparison, learns nothing about a key without the secret.
+/// Without the secret, a digest or the time of a comparison reveals nothing about a key.
 #[derive(Clone)]
 pub struct KeyHasher {
     secret: Arc<Zeroizing<[u8; DIGEST_BYTES]>>,
 }
 
 impl KeyHasher {
-    /// Makes a hasher with a secret, which should be random.
+    /// Creates a hasher with a secret, which should be random.
     pub fn new(secret: [u8; DIGEST_BYTES]) -> Self {
         Self { secret: Arc::new(Zeroizing::new(secret)) }
     }
@@ -58,23 +58,23 @@
     }
 }
 
-/// `ClientAccount` is on whose behalf requests are made.
+/// `ClientAccount` is the account on whose behalf requests are made.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ClientAccount {
-    /// Its name, which upstreams are told.
+    /// Its name, which is sent to upstreams.
     pub name: Arc<str>,
-    /// Its rank, which goes before the routes' own; 0 is the highest.
+    /// Its priority, which overrides that of the routes; 0 is the highest.
     pub priority: Option<u8>,
 }
 
-/// `AccountError` is an account that can't be taken in.
+/// `AccountError` is the reason why an account can't be added.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum AccountError {
     /// Another account has the same name.
     NameTaken,
-    /// Another account has the key at this place of the list.
+    /// Another account has the key at this index of the list.
     KeyTaken(usize),
-    /// The key at this place of the list is empty.
+    /// The key at this index of the list is empty.
     KeyEmpty(usize),
 }
 
@@ -90,16 +90,16 @@
 
 impl std::error::Error for AccountError {}
 
-/// `AccountRegistry` is the client accounts of one configuration, found by their keys.
+/// `AccountRegistry` holds the client accounts of one configuration and finds them by their keys.
 ///
 /// ```
 /// use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 ///
-/// let mut book = AccountRegistry::new(KeyHasher::new([7; 32]));
+/// let mut registry = AccountRegistry::new(KeyHasher::new([7; 32]));
 /// let account = ClientAccount { name: "kitchen".into(), priority: None };
-/// book.try_add(account.clone(), ["first", "second"]).unwrap();
-/// assert_eq!(book.account(&book.digest(b"second")).map(|one| &**one), Some(&account));
-/// assert_eq!(book.account(&book.digest(b"third")), None);
+/// registry.try_add(account.clone(), ["first", "second"]).unwrap();
+/// assert_eq!(registry.account(&registry.digest(b"second")).map(|one| &**one), Some(&account));
+/// assert_eq!(registry.account(&registry.digest(b"third")), None);
 /// ```
 #[derive(Clone, Debug)]
 pub struct AccountRegistry {
@@ -109,17 +109,17 @@
 }
 
 impl AccountRegistry {
-    /// Makes a book without accounts.
+    /// Creates a registry without accounts.
     pub fn new(hasher: KeyHasher) -> Self {
         Self { hasher, by_key: HashMap::new(), names: HashSet::new() }
     }
 
-    /// Takes an account with its keys in. One whose last key was withdrawn has none.
+    /// Adds an account with its keys. An account whose last key was withdrawn has none.
     ///
     /// # Errors
     ///
-    /// Any [`AccountError`]; the account is then known by some of its keys only, and the book is not to
-    /// be used.
+    /// Any [`AccountError`]. The account is then registered with some of its keys only, and the registry
+    /// must not be used.
     pub fn try_add<'k>(
         &mut self,
         account: ClientAccount,
@@ -142,7 +142,7 @@
         Ok(())
     }
 
-    /// Returns the digest by which a key is looked up, in this book and any other with the same secret.
+    /// Returns the digest of a key for lookups in this registry and any other with the same secret.
     pub fn digest(&self, key: &[u8]) -> KeyDigest {
         self.hasher.digest(key)
     }
@@ -166,27 +166,27 @@
         ClientAccount { name: name.into(), priority: None }
     }
 
-    /// Whoever has the key of two accounts would be billed to either.
+    /// Guards against a key of two accounts: its requests could be billed to either.
     #[test]
     fn verify_a_key_belongs_to_one_account() {
-        let mut book = AccountRegistry::new(KeyHasher::new([1; 32]));
-        book.try_add(account("a"), ["one", "one"]).expect("a key may stand twice");
+        let mut registry = AccountRegistry::new(KeyHasher::new([1; 32]));
+        registry.try_add(account("a"), ["one", "one"]).expect("a key may be listed twice");
 
-        assert_eq!(book.try_add(account("b"), ["two", "one"]), Err(AccountError::KeyTaken(1)));
-        assert_eq!(book.try_add(account("a"), ["three"]), Err(AccountError::NameTaken));
-        assert_eq!(book.try_add(account("c"), [""]), Err(AccountError::KeyEmpty(0)));
+        assert_eq!(registry.try_add(account("b"), ["two", "one"]), Err(AccountError::KeyTaken(1)));
+        assert_eq!(registry.try_add(account("a"), ["three"]), Err(AccountError::NameTaken));
+        assert_eq!(registry.try_add(account("c"), [""]), Err(AccountError::KeyEmpty(0)));
     }
 
-    /// An account without keys must not be reached by no key.
+    /// Guards against an account without keys that is found by an empty key.
     #[test]
-    fn verify_an_account_without_keys_lets_nobody_in() {
-        let mut book = AccountRegistry::new(KeyHasher::new([1; 32]));
-        book.try_add(account("a"), []).expect("its last key was withdrawn");
+    fn verify_an_account_without_keys_admits_no_caller() {
+        let mut registry = AccountRegistry::new(KeyHasher::new([1; 32]));
+        registry.try_add(account("a"), []).expect("its last key was withdrawn");
 
-        assert_eq!(book.account(&book.digest(b"")), None);
+        assert_eq!(registry.account(&registry.digest(b"")), None);
     }
 
-    /// A digest that is seen in one process must not let anybody in at another.
+    /// Guards against a digest from one process that is accepted by another.
     #[test]
     fn verify_digests_depend_on_the_secret() {
         let (one, other) = (KeyHasher::new([1; 32]), KeyHasher::new([2; 32]));
--- a/crates/anvilhook-core/src/attempts.rs
+++ b/crates/anvilhook-core/src/attempts.rs
@@ -19,7 +19,7 @@
             pub struct $name(pub u128);
 
             impl $name {
-                /// Draws an id that no other process will draw.
+                /// Draws a random id, which is unique for all practical purposes.
                 pub fn random(rng: &mut impl Rng) -> Self {
                     Self((u128::from(rng.next_u64()) << 64) | u128::from(rng.next_u64()))
                 }
@@ -65,10 +65,10 @@
 }
 
 ids! {
-    /// `RequestId` names one request of a caller, over all of its attempts.
+    /// `RequestId` identifies one request of a caller over all of its attempts.
     RequestId, "request id";
-    /// `AttemptId` names one attempt to have a request answered by one upstream.
+    /// `AttemptId` identifies one attempt to have a request answered by one upstream.
     AttemptId, "attempt id";
-    /// `ChangeId` names one change of the table, so that a lost answer can be read back.
+    /// `ChangeId` identifies one change of the table, so that its outcome can be read if the answer is lost.
     ChangeId, "change id";
 }
--- a/crates/anvilhook-core/src/authority/owners.rs
+++ b/crates/anvilhook-core/src/authority/owners.rs
@@ -108,9 +108,9 @@
             Claim::First if seen == Stamp::default() || seen.term < self.term => self.clone(),
             Claim::First => self.raise(seen.term),
             Claim::HandOver => {
-                // An engine that checks is handed over even if former holders are only fenced off. If it loses
-                // its fence later, this pool must wait for them too. Because of the new term, an acknowledgement
-                // from before the hand-over does not clear them.
+                // An engine that checks is handed over even if former holders are only fenced off.
+                // If it loses its fence later, this pool must wait for them too. Because of the new
+                // term, an acknowledgement from before the hand-over does not clear them.
                 let mut row = self.raise(seen.term);
                 row.uncleared.extend(former.into_iter().flat_map(|row| row.uncleared.clone()));
                 if let Some(holder) = &self.holder {
--- a/crates/anvilhook-core/src/clock_offsets.rs
+++ b/crates/anvilhook-core/src/clock_offsets.rs
@@ -1,18 +1,18 @@
-//! The time of day by what several machines hold it to be.
+//! Estimates the time of day from the clocks of several machines.
 //!
-//! The load that this answers: windows of usage that are counted by dozens of instances, of which some
-//! have a clock that is seconds off. What one of them counts must fall into the same window as at the others.
+//! Designed for: windows of usage that are counted by dozens of instances, some of whose clocks are seconds
+//! off. All instances must count a request in the same window.
 
 use std::collections::HashMap;
 
 use crate::units::{Millis, WallTime};
 
-/// The most machines whose clocks are remembered.
-const MOST_PEERS: usize = 1_024;
+/// The maximum number of machines whose clock offsets are stored.
+const MAX_PEERS: usize = 1_024;
 
-/// `ClockOffsets` tells the time of day from a monotonic clock, by the median of several machines' clocks.
+/// `ClockOffsets` derives the time of day from a monotonic clock and the median of several machines' clocks.
 ///
-/// A machine's own clock is read once: one that jumps later, and back again, doesn't matter.
+/// The machine's own clock is read only once, so it doesn't matter if it jumps later and back again.
 ///
 /// ```
 /// use anvilhook_core::clock_offsets::ClockOffsets;
@@ -32,21 +32,21 @@
 }
 
 impl ClockOffsets {
-    /// Makes offsets of which only the own clock's is known, which shows `time` at `now`.
+    /// Creates offsets from the machine's own clock only, which shows `time` at `now`.
     pub fn new(time: WallTime, now: Millis) -> Self {
         Self { own: offset(time, now), peers: HashMap::new() }
     }
 
-    /// Notes the time that another machine has told.
+    /// Records the time that another machine has sent.
     pub fn record(&mut self, peer: u64, time: WallTime, now: Millis) {
-        if self.peers.len() >= MOST_PEERS && !self.peers.contains_key(&peer) {
-            // Each start of a process counts as another one, so most of them are gone.
+        if self.peers.len() >= MAX_PEERS && !self.peers.contains_key(&peer) {
+            // Each process start counts as another machine, so most of the entries are obsolete.
             self.peers.clear();
         }
         self.peers.insert(peer, offset(time, now));
     }
 
-    /// Returns the time by the own clock, to be told to others.
+    /// Returns the time by the machine's own clock, to be sent to others.
     pub fn own_time(&self, now: Millis) -> WallTime {
         at(self.own, now)
     }
--- a/crates/anvilhook-core/src/errors.rs
+++ b/crates/anvilhook-core/src/errors.rs
@@ -1,16 +1,16 @@
-//! The errors of the pure core.
+//! The errors of this crate.
 
 use std::fmt;
 
 /// A result with the core's error.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is what the core reports about its input.
+/// `Error` is an error in the input of a function of this crate.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
     /// Returned when a text cannot be a name.
     BadName {
-        /// What the text was to name.
+        /// The kind of thing that the text was to name.
         kind: &'static str,
         /// The text as given.
         text: String,
@@ -22,11 +22,11 @@
         /// What was expected there.
         expected: String,
     },
-    /// Returned when a change would leave something else without what it needs.
-    WouldStrand {
+    /// Returned when other resources still need what a change would remove or alter.
+    StillNeeded {
         /// The resource that was to be changed, as `Kind/name`.
         key: String,
-        /// What would be stranded, and by which field.
+        /// The resources that need it, each with the field that refers to it.
         by: Vec<String>,
     },
 }
@@ -42,9 +42,9 @@
         Error::BadField { field: field.into(), expected: expected.into() }
     }
 
-    /// Returns an error for a change that would strand something.
-    pub fn would_strand(key: impl fmt::Display, by: Vec<String>) -> Self {
-        Error::WouldStrand { key: key.to_string(), by }
+    /// Returns an error for a change to something that is still needed.
+    pub fn still_needed(key: impl fmt::Display, by: Vec<String>) -> Self {
+        Error::StillNeeded { key: key.to_string(), by }
     }
 }
 
@@ -57,7 +57,7 @@
                  '.', beginning and ending with a letter or digit"
             ),
             Error::BadField { field, expected } => write!(f, "{field}: expected {expected}"),
-            Error::WouldStrand { key, by } => {
+            Error::StillNeeded { key, by } => {
                 write!(f, "{key} is still needed by {}; change that first", by.join(", "))
             }
         }
--- a/crates/anvilhook-core/src/fingerprints.rs
+++ b/crates/anvilhook-core/src/fingerprints.rs
@@ -1,17 +1,17 @@
-//! Fingerprints: how a request is known again that comes under another id.
+//! Fingerprints: recognize a repeated request that has another id.
 
 use std::fmt;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer, de};
 
-/// The key of fingerprints. All instances have the same one, since they tell each other of requests by it.
+/// The hash key of fingerprints. All instances use the same one, since they exchange fingerprints.
 const KEY: [u8; 32] = *b"anvilhook request fingerprint 01";
 
-/// `Fingerprint` is the hash of what makes a request the same one: who sends it, where to, and its body.
+/// `Fingerprint` is the hash of what identifies a request: its sender, its target and its body.
 ///
-/// A client that repeats a request gives it a new id, at any instance. Each byte counts: two requests that
-/// differ in one are two. The hash resists collisions, so that no caller can make a request which is taken
-/// for another caller's.
+/// A client that repeats a request gives it a new id, at any instance. Every byte counts: two requests that
+/// differ in one byte are different requests. The hash is collision-resistant, so that no caller can create
+/// a request that is mistaken for another caller's.
 ///
 /// ```
 /// use anvilhook_core::fingerprints::Fingerprint;
@@ -31,7 +31,7 @@
     pub fn of(caller: &str, target: &str, body: &[u8]) -> Self {
         let mut hasher = blake3::Hasher::new_keyed(&KEY);
         for part in [caller.as_bytes(), target.as_bytes()] {
-            // The lengths keep a byte from counting for the next part.
+            // The lengths mark where each part ends, so that no byte can count as part of the next one.
             hasher.update(&(part.len() as u64).to_le_bytes());
             hasher.update(part);
         }
@@ -56,7 +56,7 @@
     }
 }
 
-/// In text it is written in hexadecimal: few readers of JSON take a number of this size.
+/// Text formats contain it in hexadecimal, because few JSON parsers support integers of this size.
 impl Serialize for Fingerprint {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         if serializer.is_human_readable() {
--- a/crates/anvilhook-core/src/leases/options.rs
+++ b/crates/anvilhook-core/src/leases/options.rs
@@ -1,21 +1,21 @@
-//! The lengths that leases rest on.
+//! The durations that determine how long leases hold.
 
 use serde::{Deserialize, Serialize};
 
 use crate::errors::{Error, Result};
 use crate::units::Millis;
 
-/// How much longer a span can look to a challenger than to the holder only because each reads its
-/// clock in whole milliseconds: up to one at either of them.
+/// The most by which rounding alone can make a span look longer to a challenger than to the holder. Both
+/// read their clocks in whole milliseconds, which adds up to one millisecond each.
 const ROUNDING: Millis = Millis(2);
 
-/// The shortest time-out that a call to an engine can do with.
+/// The shortest time-out that is sufficient for a call to an engine.
 const MIN_CALL_TIMEOUT: Millis = Millis(100);
 
-/// Parts in a million, the unit of clock rate differences.
+/// Parts per million, the unit of clock rate differences.
 const MILLION: u64 = 1_000_000;
 
-/// `LeaseOptions` sets the lengths that leases rest on. All instances must be given the same.
+/// `LeaseOptions` sets the durations of leases. All instances must use the same.
 ///
 /// ```
 /// use anvilhook_core::leases::LeaseOptions;
@@ -28,21 +28,21 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LeaseOptions {
-    /// How long a renewal is good for.
+    /// How long the session holds after a renewal.
     pub length_ms: Millis,
     /// The time between two renewals.
     pub renew_every_ms: Millis,
-    /// How long before the end of its lease a holder stops giving orders. An order given just
-    /// before must arrive while the lease holds, so calls to engines go by `call_timeout`.
+    /// How long before the end of its lease a holder stops giving orders. An order that is given just
+    /// before must arrive while the lease holds, so calls to engines use `call_timeout`.
     pub guard_ms: Millis,
-    /// By how many parts in a million the rates of any two instances' clocks may differ.
+    /// The maximum difference between the rates of any two instances' clocks, in parts per million.
     pub clock_rate_bound_ppm: u64,
-    /// What a challenger waits beyond the length and the clock rate bound.
+    /// How long a challenger waits in addition to the length and the clock rate bound.
     pub margin_ms: Millis,
 }
 
 impl LeaseOptions {
-    /// Checks that the lengths fit each other.
+    /// Checks that the durations are consistent.
     ///
     /// # Errors
     ///
@@ -68,12 +68,12 @@
         Ok(())
     }
 
-    /// Returns the time-out of calls to engines, which counts once for the head of an answer and
-    /// once for its end.
+    /// Returns the time-out of calls to engines. It applies once to the head of an answer and once
+    /// to the rest.
     ///
-    /// If it were set by itself, a longer one could let an order that was given just before the
-    /// guard interval arrive after a successor began: one would see an engine change against its
-    /// holder's will. Taken from the guard interval, a whole call always ends within it, with a
+    /// If it could be set separately, a long time-out could let an order that was given just before the
+    /// guard interval arrive after a successor has begun: an engine would change against its holder's
+    /// will. It is derived from the guard interval, so that a whole call always ends within it, with a
     /// fifth to spare for clocks and scheduling.
     ///
     /// ```
@@ -89,7 +89,7 @@
     /// Returns how long a challenger must see a row of the given length unchanged before it may
     /// end it.
     pub fn challenge_after(&self, length: Millis) -> Millis {
-        // Rounded up, because a millisecond too few would be one in which both may act.
+        // Rounded up, because during a missing millisecond both could act.
         let drift = length.0.saturating_mul(self.clock_rate_bound_ppm).div_ceil(MILLION);
         length + Millis(drift) + ROUNDING + self.margin_ms
     }
--- a/crates/anvilhook-core/src/leases/sessions.rs
+++ b/crates/anvilhook-core/src/leases/sessions.rs
@@ -1,4 +1,4 @@
-//! Sessions: the one row that an instance renews for all that it holds.
+//! Sessions: the single row that an instance renews for everything that it holds.
 
 use std::fmt;
 
@@ -13,7 +13,7 @@
 pub struct SessionRef {
     /// The instance.
     pub instance: InstanceName,
-    /// Which of its sessions, from 1. An instance whose session was ended opens the next.
+    /// The number of the session, from 1. An instance whose session was ended opens the next.
     pub epoch: u64,
 }
 
@@ -26,18 +26,18 @@
 /// `SessionRow` is a session as it is stored.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 pub struct SessionRow {
-    /// Whose session it is.
+    /// The session that the row stores.
     pub session: SessionRef,
     /// The number of the last renewal. It makes each renewal a change that a challenger sees.
     pub renewal: u64,
-    /// How long a renewal is good for.
+    /// How long the session holds after a renewal.
     pub length: Millis,
-    /// Whether the session has ended, by its instance or by a challenger. It never goes on.
+    /// Whether the instance or a challenger has ended the session. An ended session is never resumed.
     pub ended: bool,
 }
 
 impl SessionRow {
-    /// Returns whether this row says that a session goes on.
+    /// Returns whether this row shows that `session` is active.
     pub fn is_active_for(&self, session: &SessionRef) -> bool {
         self.session == *session && !self.ended
     }
@@ -48,16 +48,16 @@
     }
 }
 
-/// `SessionStatus` is what an instance learns of its session by reading it.
+/// `SessionStatus` is the status of its session that an instance reads back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SessionStatus {
-    /// It goes on.
+    /// The session is active.
     Active,
-    /// It has ended, and with it all that the instance held.
+    /// The session has ended, and the instance no longer holds anything.
     Ended,
 }
 
-/// A renewal, or the opening, whose effect is not known yet.
+/// A renewal or an opening whose outcome is not known yet.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 struct Pending {
     row: SessionRow,
@@ -74,8 +74,8 @@
 }
 
 impl OwnSession {
-    /// Makes the next session of an instance. `stored` is the row of an earlier one, if there is
-    /// any, with its version. The session is good for nothing until its opening is confirmed.
+    /// Creates the next session of an instance. `stored` is the row of an earlier session with its
+    /// version, if there is one. The session is not valid until its opening is confirmed.
     pub fn new(
         instance: InstanceName,
         length: Millis,
@@ -88,17 +88,17 @@
         OwnSession { row, version, good_from: None, pending: None }
     }
 
-    /// Returns the session's name.
+    /// Returns the session's reference.
     pub fn session(&self) -> &SessionRef {
         &self.row.session
     }
 
-    /// Returns the version at which the next renewal must find the row, `None` if it must be absent.
+    /// Returns the version that the row must have for the next renewal; `None` if it must be absent.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// Returns the row as it was last known to stand.
+    /// Returns the last known content of the row.
     pub fn row(&self) -> &SessionRow {
         &self.row
     }
@@ -112,9 +112,8 @@
     /// Begins the opening or a renewal and returns the row to write. It must be called before the
     /// write is sent.
     ///
-    /// A renewal that is sent again keeps the time of its first sending: of two sendings that
-    /// carry one row, nobody can tell which took effect, and a challenger may have counted from
-    /// the first.
+    /// A renewal that is resent keeps the time when it was first sent. Both writes contain the same row,
+    /// so it is unknown which one took effect, and a challenger may have counted from the first.
     pub fn begin(&mut self, now: Millis) -> SessionRow {
         if let Some(pending) = &self.pending {
             return pending.row.clone();
@@ -124,7 +123,7 @@
         row
     }
 
-    /// Notes that the write took effect.
+    /// Records that the write took effect.
     pub fn confirm(&mut self) {
         let Some(pending) = self.pending.take() else { return };
         self.row = pending.row;
@@ -132,11 +131,11 @@
         self.good_from = Some(pending.sent_at);
     }
 
-    /// Notes the row as it was read after a lost answer or a conflict.
-    pub fn read_back(&mut self, standing: Option<(&SessionRow, u64)>) -> SessionStatus {
-        let Some((row, version)) = standing else {
-            // The opening has not taken effect, and may still be sent again. A row that was there
-            // and is gone was ended and cleared away.
+    /// Records the row as read after a lost answer or a conflict. Returns whether the session is active.
+    pub fn read_back(&mut self, stored: Option<(&SessionRow, u64)>) -> SessionStatus {
+        let Some((row, version)) = stored else {
+            // If the opening has not taken effect, it may still be resent. A row that existed before and
+            // is missing now was ended and removed.
             return if self.good_from.is_none() {
                 SessionStatus::Active
             } else {
@@ -163,8 +162,8 @@
 
     /// Returns whether an order may be given now.
     ///
-    /// Without the guard interval an order that is checked just before the lease ends would arrive
-    /// after a successor has begun; one would see orders of two terms interleave at an engine.
+    /// Without the guard interval, an order that is checked just before the lease ends would arrive
+    /// after a successor has begun: an engine would receive orders of two terms in mixed order.
     pub fn may_order(&self, now: Millis, options: &LeaseOptions) -> bool {
         self.good_until().is_some_and(|until| now + options.guard_ms < until)
     }
--- a/crates/anvilhook-core/src/leases/watches.rs
+++ b/crates/anvilhook-core/src/leases/watches.rs
@@ -1,9 +1,9 @@
-//! A challenger's watch over another instance's session.
+//! Watches another instance's session on behalf of a challenger.
 
 use super::{LeaseOptions, SessionRow};
 use crate::units::Millis;
 
-/// `Watch` tells for how long a session's row has not changed, on the watcher's own clock.
+/// `Watch` measures how long a session's row has not changed, on the watcher's own clock.
 ///
 /// ```
 /// use anvilhook_core::leases::{LeaseOptions, OwnSession, Watch};
@@ -32,11 +32,11 @@
 }
 
 impl Watch {
-    /// Notes the row as it was read and returns whether the session has lapsed, so that it may be
+    /// Records the row that was read and returns whether the session has lapsed, so that it may be
     /// ended by compare-and-set at this version.
     ///
-    /// `read_at` is the time after the answer came. A time before the read was sent would be
-    /// unsound: the holder may have renewed between the two, and its lease would outlast the wait.
+    /// `read_at` is a time after the answer arrived. A time before the read was sent would be unsafe:
+    /// the holder may have renewed in between, and its lease would outlast the wait.
     pub fn observe(
         &mut self,
         row: &SessionRow,
@@ -56,7 +56,7 @@
         read_at >= seen.since + options.challenge_after(row.length)
     }
 
-    /// Forgets what was seen.
+    /// Discards the recorded row.
     pub fn reset(&mut self) {
         self.seen = None;
     }
--- a/crates/anvilhook-core/src/lib.rs
+++ b/crates/anvilhook-core/src/lib.rs
@@ -1,7 +1,7 @@
-//! Pure decisions and aggregates of anvilhook.
+//! The decision logic and aggregates of anvilhook, without I/O.
 //!
-//! Nothing in this crate opens a socket, starts a thread or reads the time by itself: a clock and a
-//! seeded generator are passed in, so that every decision can be replayed in a test.
+//! Nothing in this crate opens a socket, starts a thread or reads a clock: the time and a seeded
+//! generator are passed in, so that every decision can be replayed in a test.
 #![forbid(unsafe_code)]
 
 pub mod admission;
--- a/crates/anvilhook-core/src/limits/accounts.rs
+++ b/crates/anvilhook-core/src/limits/accounts.rs
@@ -1,4 +1,4 @@
-//! One account's limits at one instance.
+//! Applies one account's limits at one instance.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
@@ -7,32 +7,32 @@
 use crate::resources::AccountSpec;
 use crate::units::Millis;
 
-/// The limiter's resolution: microseconds of the clock.
+/// Factors for the limiter's resolution, which is one microsecond.
 const MICROS_PER_MILLI: u64 = 1_000;
 const MICROS_PER_SEC: f64 = 1_000_000.0;
 
-/// `LimitedBy` says which limit refused a request.
+/// `LimitedBy` is the limit by which a request was refused.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum LimitedBy {
-    /// Requests in a second.
+    /// Requests per second.
     Rate,
     /// Open requests.
     Open,
 }
 
-/// `LimitRefusal` refuses a request, which has not run.
+/// `LimitRefusal` is the refusal of a request, which has not run.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct LimitRefusal {
     /// The limit that was reached.
     pub limited_by: LimitedBy,
-    /// When to come back.
+    /// The time after which to retry.
     pub retry_after: Millis,
 }
 
 /// `AccountLimiter` admits an account's requests within this instance's share of its limits.
 ///
-/// The rate is kept by the generic cell rate algorithm: one atomic holds the time at which the
-/// next request would arrive if all came evenly spaced.
+/// The rate is limited by the generic cell rate algorithm: one atomic holds the time at which the next
+/// request would arrive if all requests were evenly spaced.
 ///
 /// ```
 /// use anvilhook_core::limits::{AccountLimiter, LimitOptions};
@@ -49,23 +49,23 @@
 #[derive(Debug)]
 pub struct AccountLimiter {
     options: LimitOptions,
-    // This instance's share while peers cannot be heard: bits of the rate, and open requests.
+    // This instance's share while peers are unreachable: bits of the rate, and open requests.
     equal_rate_bits: AtomicU64,
     equal_open: AtomicU64,
-    // The present share: bits of the rate as `f64`, open requests, and when it was set.
+    // The current share: bits of the rate as `f64`, open requests, and when it was set.
     rate_bits: AtomicU64,
     max_open: AtomicU64,
     set_at: AtomicU64,
     // Whether the share has ever been set; if not, it is the equal one.
     is_set: AtomicBool,
-    // The next even arrival, in microseconds.
+    // The next evenly spaced arrival, in microseconds.
     next_arrival: AtomicU64,
     open: AtomicU64,
-    asked: AtomicU64,
+    requested: AtomicU64,
 }
 
 impl AccountLimiter {
-    /// Makes a limiter that holds an equal share of the limits, as one of `instances`.
+    /// Creates a limiter that holds an equal share of the limits, as one of `instances`.
     pub fn new(spec: &AccountSpec, instances: usize, options: &LimitOptions) -> Self {
         let equal = AccountShare::equal(spec, instances);
         Self {
@@ -78,39 +78,39 @@
             is_set: AtomicBool::new(false),
             next_arrival: AtomicU64::new(0),
             open: AtomicU64::new(0),
-            asked: AtomicU64::new(0),
+            requested: AtomicU64::new(0),
         }
     }
 
-    /// Admits a request, which must be counted out by `release`.
+    /// Admits a request. The caller must call `release` when the request ends.
     ///
     /// # Errors
     ///
     /// `LimitRefusal` if the share is used up. The request has not run.
     pub fn try_admit(&self, now: Millis) -> Result<(), LimitRefusal> {
-        self.asked.fetch_add(1, Ordering::AcqRel);
+        self.requested.fetch_add(1, Ordering::AcqRel);
         let share = self.share(now);
-        let enter = |open: u64| (open < share.open_requests).then_some(open + 1);
-        if self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, enter).is_err() {
+        let admit = |open: u64| (open < share.open_requests).then_some(open + 1);
+        if self.open.fetch_update(Ordering::AcqRel, Ordering::Acquire, admit).is_err() {
             let retry_after = Millis(1_000);
             return Err(LimitRefusal { limited_by: LimitedBy::Open, retry_after });
         }
-        let paid = self.pay(share.requests_per_s, now);
-        if paid.is_err() {
+        let consumed = self.consume_rate(share.requests_per_s, now);
+        if consumed.is_err() {
             self.release();
         }
-        paid
+        consumed
     }
 
-    /// Counts an admitted request out.
+    /// Records that an admitted request has ended.
     pub fn release(&self) {
         self.open.fetch_sub(1, Ordering::AcqRel);
     }
 
-    /// Returns the present share. It is at most an equal one if it has not been renewed in time.
+    /// Returns the current share. It is at most an equal one if it has not been renewed in time.
     ///
-    /// A process that was paused or cut off would otherwise go on with a large share that the
-    /// others have meanwhile taken back. One would notice an account above its limit.
+    /// A process that was paused or partitioned would otherwise continue with a large share that the
+    /// others have meanwhile taken back, and the account would exceed its limit.
     pub fn share(&self, now: Millis) -> AccountShare {
         let share = AccountShare {
             requests_per_s: f64::from_bits(self.rate_bits.load(Ordering::Acquire)),
@@ -120,19 +120,19 @@
         if now - set_at > self.options.stale_after { share.min(self.equal()) } else { share }
     }
 
-    /// Takes over another number of instances, by which the limits are shared equally while peers
-    /// cannot be heard.
+    /// Sets the number of instances, by which the limits are divided equally while peers are
+    /// unreachable.
     pub fn set_instances(&self, spec: &AccountSpec, instances: usize) {
         let equal = AccountShare::equal(spec, instances);
         self.equal_rate_bits.store(equal.requests_per_s.to_bits(), Ordering::Release);
         self.equal_open.store(equal.open_requests, Ordering::Release);
-        // A share that nobody works out by demand follows the number of instances.
+        // Until a share by demand has been set, the equal share follows the number of instances.
         if !self.is_set.load(Ordering::Acquire) {
             self.store_share(equal);
         }
     }
 
-    /// Sets the share that `ShareAllocator` has worked out.
+    /// Sets the share that `ShareAllocator` has computed.
     pub fn set_share(&self, share: AccountShare, now: Millis) {
         self.is_set.store(true, Ordering::Release);
         self.store_share(share);
@@ -141,8 +141,8 @@
 
     /// Returns the demand since the last call, `span` ago, for the digest.
     pub fn take_demand(&self, span: Millis) -> AccountDemand {
-        let asked = self.asked.swap(0, Ordering::AcqRel);
-        let requests_per_s = asked as f64 / span.as_secs_f64().max(0.001);
+        let requested = self.requested.swap(0, Ordering::AcqRel);
+        let requests_per_s = requested as f64 / span.as_secs_f64().max(0.001);
         AccountDemand { requests_per_s, open_requests: self.open.load(Ordering::Acquire) }
     }
 
@@ -158,14 +158,14 @@
         self.max_open.store(share.open_requests, Ordering::Release);
     }
 
-    fn pay(&self, requests_per_s: f64, now: Millis) -> Result<(), LimitRefusal> {
+    fn consume_rate(&self, requests_per_s: f64, now: Millis) -> Result<(), LimitRefusal> {
         let limited_by = LimitedBy::Rate;
         if requests_per_s <= 0.0 {
             return Err(LimitRefusal { limited_by, retry_after: self.options.settle });
         }
         let gap = (MICROS_PER_SEC / requests_per_s) as u64;
         let now_us = now.0 * MICROS_PER_MILLI;
-        // At least one request is let through at once, however low the rate.
+        // At least one request is admitted at once, however low the rate.
         let burst = (self.options.burst.0 * MICROS_PER_MILLI).max(gap);
         let advance = |next: u64| {
             let next = next.max(now_us) + gap;
--- a/crates/anvilhook-core/src/limits/shares.rs
+++ b/crates/anvilhook-core/src/limits/shares.rs
@@ -1,4 +1,4 @@
-//! How the instances' shares of one account's limits are worked out.
+//! Computes the instances' shares of one account's limits.
 
 use std::collections::VecDeque;
 
@@ -9,23 +9,23 @@
 use crate::resources::AccountSpec;
 use crate::units::Millis;
 
-/// The part of a limit that is shared equally whatever the demand, so that an instance which meets
-/// an account for the first time need not refuse it.
+/// The part of a limit that is divided equally regardless of demand, so that an instance need not refuse
+/// an account's first requests.
 const EQUAL_SHARE: f64 = 0.2;
 
-/// `AccountDemand` is what an account asks of one instance.
+/// `AccountDemand` is the demand of an account at one instance.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Serialize)]
 pub struct AccountDemand {
-    /// Requests that asked to be admitted, in a second.
+    /// Requests per second, admitted or not.
     pub requests_per_s: f64,
-    /// Requests now open.
+    /// Requests that are currently open.
     pub open_requests: u64,
 }
 
 /// `AccountShare` is one instance's share of an account's limits.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct AccountShare {
-    /// Requests admitted in a second.
+    /// Requests admitted per second.
     pub requests_per_s: f64,
     /// Requests open at once.
     pub open_requests: u64,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Returns the smaller of each limit.
+    /// Returns the smaller value of each limit.
     pub fn min(self, other: Self) -> Self {
         Self {
             requests_per_s: self.requests_per_s.min(other.requests_per_s),
@@ -57,41 +57,41 @@
 pub struct PeerDemand {
     /// The instance.
     pub instance: InstanceName,
-    /// What it was asked for.
+    /// The demand at that instance.
     pub demand: AccountDemand,
-    /// When the digest was heard; nothing if it never was.
+    /// When the digest was received; `None` if it never was.
     pub received_at: Option<Millis>,
-    /// Whether that instance said that it hears all others.
+    /// Whether that instance reported that it receives the digests of all others.
     pub hears_all: bool,
 }
 
-/// `ShareAllocator` works out one instance's share of one account's limits.
+/// `ShareAllocator` computes one instance's share of one account's limits.
 ///
-/// All instances use the same function of the same digests, so their shares add up to the limit
-/// while they agree. Where they don't yet agree, two rules keep the sum down: a share shrinks at
-/// once but grows only after `LimitOptions::settle`, and as long as any instance cannot hear
-/// another, none takes more than an equal share.
+/// All instances use the same function of the same digests, so their shares add up to the limit while
+/// they agree. Where they don't agree yet, two rules limit the sum: a share shrinks at once but grows only
+/// after `LimitOptions::settle`; and as long as any instance misses the digests of another, none uses
+/// more than an equal share.
 #[derive(Debug)]
 pub struct ShareAllocator {
     spec: AccountSpec,
     options: LimitOptions,
-    // Shares worked out within the last `settle`, the oldest first.
+    // Shares computed within the last `settle`, the oldest first.
     recent: VecDeque<(Millis, AccountShare)>,
 }
 
 impl ShareAllocator {
-    /// Makes a keeper that has heard nothing yet.
+    /// Creates an allocator that has received no digests.
     pub fn new(spec: AccountSpec, options: &LimitOptions) -> Self {
         Self { spec, options: *options, recent: VecDeque::new() }
     }
 
-    /// Returns whether this instance hears all of its listed peers, for its own digest.
+    /// Returns whether this instance receives the digests of all listed peers, for its own digest.
     pub fn hears_all(&self, peers: &[PeerDemand], now: Millis) -> bool {
         let fresh = |received_at: Millis| now - received_at <= self.options.stale_after;
         peers.iter().all(|peer| peer.received_at.is_some_and(fresh))
     }
 
-    /// Works out the share that may be used from now on. `peers` are all other listed instances.
+    /// Computes the share that may be used from now on. `peers` are all other listed instances.
     pub fn update(
         &mut self,
         own: &AccountDemand,
@@ -106,7 +106,7 @@
         }
         let settle = self.options.settle;
         self.recent.push_back((now, share));
-        // The newest entry from before the window stays, since it held when the window began.
+        // The newest entry from before the window stays, since it was current when the window began.
         while self.recent.len() > 1 && self.recent[1].0 + settle <= now {
             self.recent.pop_front();
         }
@@ -127,8 +127,8 @@
         AccountShare {
             requests_per_s: f64::from(self.spec.requests_per_s)
                 * part(own.requests_per_s, rate_sum),
-            // Rounding up would add up to more than the limit; rounding to nothing would shut an
-            // account out, so one open request is always allowed.
+            // Rounding up could exceed the limit in sum, and rounding to zero would lock the account
+            // out, so one open request is always allowed.
             open_requests: ((f64::from(self.spec.open_requests) * open_part) as u64)
                 .max(u64::from(self.spec.open_requests.min(1))),
         }
--- a/crates/anvilhook-core/src/membership/members.rs
+++ b/crates/anvilhook-core/src/membership/members.rs
@@ -1,15 +1,16 @@
 //! Announced and listed instances.
 //!
-//! An instance announces itself, then reads the drains, then routes. A holder marks an engine, then
-//! reads the announcements. Whichever comes first in the table, either the holder sees the instance
-//! and waits for it, or the instance sees the mark and routes nothing there. An instance that is cut
-//! off from the table alone is still seen in the platform's list, and is waited for as well.
+//! An instance announces itself, then reads the drains, then routes. A holder marks an engine, then reads
+//! the announcements. Whichever is written to the table first, either the holder sees the instance and
+//! waits for it, or the instance sees the mark and routes nothing there. An instance that is only
+//! partitioned from the table is still in the platform's instance list, so the holder waits for it as
+//! well.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::names::InstanceName;
 
-/// `Listed` is what the platform's list says of an instance.
+/// `Listed` is the state of an instance in the platform's instance list.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Listed {
     /// It runs, or is about to leave.
@@ -18,7 +19,7 @@
     Gone,
 }
 
-/// `Roster` is what is known of all instances.
+/// `Roster` holds the known instances, announced or listed.
 ///
 /// ```
 /// use anvilhook_core::membership::{Listed, Roster};
@@ -34,13 +35,13 @@
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Roster {
     announced: BTreeSet<InstanceName>,
-    /// Those that took back their announcement, as an instance does at the end of a planned stop.
+    /// Instances that withdrew their announcement, as they do at the end of a planned stop.
     departed: BTreeSet<InstanceName>,
     listed: BTreeMap<InstanceName, Listed>,
 }
 
 impl Roster {
-    /// Replaces the announcements by a newer reading of all of them.
+    /// Replaces the announcements by a newer read of all of them.
     pub fn replace_announced(&mut self, instances: impl IntoIterator<Item = InstanceName>) {
         let before = std::mem::take(&mut self.announced);
         self.announced = instances.into_iter().collect();
@@ -48,11 +49,11 @@
         self.departed.retain(|name| !self.announced.contains(name));
     }
 
-    /// Replaces the lines of the platform's list by a newer reading. That an instance is gone is
-    /// final: a list that lags more than the one before does not bring it back.
-    pub fn replace_listed(&mut self, lines: impl IntoIterator<Item = (InstanceName, Listed)>) {
+    /// Replaces the entries of the instance list by a newer read. The state `Gone` is final: a list that
+    /// lags behind the previous one does not bring an instance back.
+    pub fn replace_listed(&mut self, entries: impl IntoIterator<Item = (InstanceName, Listed)>) {
         self.listed.retain(|_, listed| *listed == Listed::Gone);
-        for (name, listed) in lines {
+        for (name, listed) in entries {
             let known = self.listed.entry(name).or_insert(listed);
             if listed == Listed::Gone {
                 *known = Listed::Gone;
@@ -60,14 +61,14 @@
         }
     }
 
-    /// Returns whether the platform says that an instance is gone for good. One that is missing
-    /// from the list is not known to be gone.
+    /// Returns whether the platform reports that an instance is gone for good. An instance that is
+    /// missing from the list is not known to be gone.
     pub fn is_gone(&self, instance: &InstanceName) -> bool {
         self.listed.get(instance) == Some(&Listed::Gone)
     }
 
     /// Returns the instances whose acknowledgement a drain needs: all that are announced or listed,
-    /// but for those that are gone or took back their announcement.
+    /// except those that are gone or withdrew their announcement.
     pub fn required(&self) -> impl Iterator<Item = &InstanceName> {
         let present = self.listed.iter().filter(|(_, listed)| **listed == Listed::Present);
         let only_listed = present
--- a/crates/anvilhook-core/src/membership/mod.rs
+++ b/crates/anvilhook-core/src/membership/mod.rs
@@ -1,5 +1,4 @@
-//! Which instances there are: those that announced themselves in the table, seen beside what the
-//! platform says of them.
+//! Tracks which instances exist, from their announcements in the table and the platform's instance list.
 
 mod candidates;
 mod members;
--- a/crates/anvilhook-core/src/membership/readers.rs
+++ b/crates/anvilhook-core/src/membership/readers.rs
@@ -1,4 +1,4 @@
-//! Which instances read an engine's load report for all others.
+//! Chooses the instances that read an engine's load report for all others.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -8,16 +8,16 @@
 /// The number of instances that read one engine.
 pub const READERS: usize = 2;
 
-/// Chooses the instances that read an engine, at most two, among the announced ones with their
-/// availability zones.
+/// Chooses the instances that read an engine's load report, at most two, among the announced ones with
+/// their availability zones.
 ///
-/// Each engine has an order of its own of all instances. The first reads it, and the first of
-/// another zone, so that one reader is left when a zone is lost; if all are in one zone, the second.
-/// An instance that leaves is replaced by the next of each order in which it stood first, so that
-/// only its own readings move.
+/// Each engine ranks all instances in its own order. The readers are the first instance and the first of
+/// another zone, so that one reader is left when a zone is lost; if all are in one zone, the second
+/// instance. If an instance leaves, the next one in the order replaces it at each engine that it read, so
+/// that no other reader changes.
 ///
-/// Instances that believe in different members choose different readers for a while. An engine is
-/// then read by some more of them, or by nobody until others miss its digests and read it themselves.
+/// Instances with different views of the members choose different readers for a while. An engine is then
+/// read by more instances, or by none until others miss its digests and read it themselves.
 ///
 /// ```
 /// use anvilhook_core::membership::choose_readers;
@@ -36,8 +36,8 @@
     engine: &UpstreamName,
     members: impl IntoIterator<Item = (&'a InstanceName, &'a ZoneName)>,
 ) -> Vec<&'a InstanceName> {
-    let weighed = members.into_iter().map(|(name, zone)| ((weight(engine, name), name), zone));
-    let mut order: Vec<_> = weighed.collect();
+    let weighted = members.into_iter().map(|(name, zone)| ((weight(engine, name), name), zone));
+    let mut order: Vec<_> = weighted.collect();
     order.sort_unstable_by_key(|(rank, _)| *rank);
     order.dedup_by_key(|((_, name), _)| *name);
 
@@ -48,8 +48,8 @@
 }
 
 fn weight(engine: &UpstreamName, instance: &InstanceName) -> u64 {
-    // The hasher's keys are fixed, so all instances agree while they run one version; where they
-    // don't, an engine is read more often or its digests are missed.
+    // The hasher's keys are fixed, so all instances of one version agree. If they don't agree, an engine
+    // is read more often or its digests are missed.
     let mut hasher = DefaultHasher::new();
     (engine, instance).hash(&mut hasher);
     hasher.finish()
--- a/crates/anvilhook-core/src/names.rs
+++ b/crates/anvilhook-core/src/names.rs
@@ -1,7 +1,7 @@
-//! Names as shared immutable strings, one type for each kind of thing.
+//! Names as shared immutable strings, with one type for each kind of thing.
 //!
-//! A name is 1 to 63 characters of `a-z`, `0-9`, `-` and `.`, beginning and ending with a letter or
-//! a digit. Cloning a name copies no text.
+//! A name is 1 to 63 characters of `a-z`, `0-9`, `-` and `.`, and begins and ends with a letter or a
+//! digit. Cloning a name copies no text.
 
 use std::fmt;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
             pub struct $name(Arc<str>);
 
             impl $name {
-                /// Checks the text and makes a name of it.
+                /// Checks the text and returns it as a name.
                 ///
                 /// # Errors
                 ///
@@ -79,17 +79,17 @@
 }
 
 names! {
-    /// `InstanceName` names one running process of the system. A restarted process takes a new name.
+    /// `InstanceName` names one running process of the system. A restarted process gets a new name.
     InstanceName, "instance";
     /// `ZoneName` names an availability zone.
     ZoneName, "availability zone";
     /// `UpstreamName` names a model engine or one plain-service upstream.
     UpstreamName, "upstream";
-    /// `ServiceName` names what callers ask for.
+    /// `ServiceName` names a service that callers can request.
     ServiceName, "service";
     /// `PoolName` names a pool of engines.
     PoolName, "engine pool";
-    /// `ModelName` names a model, whatever its version.
+    /// `ModelName` names a model, regardless of its version.
     ModelName, "model";
     /// `AccountName` names a caller's account.
     AccountName, "account";
--- a/crates/anvilhook-core/src/orders.rs
+++ b/crates/anvilhook-core/src/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines and the authority that they carry.
+//! Orders to engines, and the authority under which they are given.
 
 use std::fmt;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// `Stamp` orders all orders that an engine can be given: first by term, then by sequence number
+/// `Stamp` defines the order of all orders to an engine: first by term, then by sequence number
 /// within the term.
 ///
 /// ```
@@ -40,11 +40,11 @@
     pub seq: u64,
 }
 
-/// `Role` is the work that an engine takes.
+/// `Role` is the kind of work that an engine accepts.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Reads prompts and exports their KV cache.
+    /// Prefills prompts and exports their KV cache.
     Prefill,
     /// Imports KV caches and generates output.
     Decode,
@@ -62,54 +62,54 @@
     pub version: u64,
 }
 
-/// `Order` is what the authority over an engine can ask of it.
+/// `Order` is an order that the authority over an engine can give to it.
 #[derive(Clone, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum Order {
-    /// Take another role.
+    /// Switch to another role.
     SetRole {
-        /// The role to take.
+        /// The role to switch to.
         role: Role,
     },
-    /// Load a version of a model and serve it in place of the present one.
+    /// Load a version of a model and serve it instead of the current one.
     LoadModel {
         /// The version to load.
         model: ModelRef,
     },
-    /// Load an adapter beside the model.
+    /// Load an adapter in addition to the model.
     LoadAdapter {
         /// The adapter's name.
         adapter: ModelName,
     },
 }
 
-/// `StampedOrder` is an order with its authority.
+/// `StampedOrder` is an order with its stamp.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct StampedOrder {
-    /// The authority and place of the order.
+    /// The order's stamp: its term and its number within the term.
     pub stamp: Stamp,
-    /// What is asked.
+    /// The order itself.
     pub order: Order,
 }
 
-/// `EngineState` is what an engine says of itself when it is read before an order.
+/// `EngineState` is the state that an engine reports when it is read before an order.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct EngineState {
     /// Whether the engine refuses an order whose stamp is not above the last accepted one.
     pub checks_fencing: bool,
     /// A number that changes with each start of the engine's process.
     pub boot: u64,
-    /// The present role.
+    /// The current role.
     pub role: Role,
     /// The model that is being served, if one is loaded.
     pub model: Option<ModelRef>,
-    /// The adapters beside it.
+    /// The adapters that are loaded in addition to the model.
     pub adapters: Vec<ModelName>,
     /// The highest stamp accepted since the process started.
     pub last_stamp: Stamp,
     /// The order being carried out, if any.
     pub running_order: Option<StampedOrder>,
-    /// Requests now queued or running.
+    /// The number of requests that are queued or running.
     pub open_requests: u64,
 }
 
@@ -117,7 +117,7 @@
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "reply")]
 pub enum OrderReply {
-    /// The order is being carried out or has been.
+    /// The order is being carried out or has been carried out.
     Accepted,
     /// The stamp is not above the last accepted one; nothing was done.
     Fenced {
@@ -126,7 +126,7 @@
     },
     /// The engine cannot carry the order out now; nothing was done.
     Refused {
-        /// Why, for people.
+        /// The reason, in readable form.
         reason: String,
     },
 }
--- a/crates/anvilhook-core/src/quarantine.rs
+++ b/crates/anvilhook-core/src/quarantine.rs
@@ -27,7 +27,8 @@
 pub struct QuarantineOptions {
     /// How many engine processes must have ended under a request if most engine ends happen under it.
     pub ends: usize,
-    /// How many must have ended otherwise: where engines also end without cause, some requests run at several of them.
+    /// How many must have ended otherwise: where engines also end for other reasons, some requests happen to
+    /// run at several of them.
     pub ends_among_others: usize,
     /// How long a suspicion or a quarantine lasts after the last end or arrival.
     pub memory: Millis,
--- a/crates/anvilhook-core/src/resources/changes.rs
+++ b/crates/anvilhook-core/src/resources/changes.rs
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// `Error::BadField` for a field of the change's own spec that breaks a rule or names something
-    /// that is not declared or that something else claims already, and `Error::WouldStrand` if something else would lose what it needs.
+    /// that is not declared or that something else claims already, and `Error::StillNeeded` if something else would lose what it needs.
     pub fn check(&self, base: &Configuration) -> Result<()> {
         let after = base.with_change(base.revision(), self);
         if let Action::Put(spec) = &self.action {
@@ -71,7 +71,7 @@
         if stranded.is_empty() {
             return Ok(());
         }
-        Err(Error::would_strand(&self.key, stranded))
+        Err(Error::still_needed(&self.key, stranded))
     }
 
     /// Lists what stood firm before the change and does not after it.
--- a/crates/anvilhook-daemon/src/operators/refusals.rs
+++ b/crates/anvilhook-daemon/src/operators/refusals.rs
@@ -62,7 +62,7 @@
         anvilhook_core::Error::BadName { .. } => {
             Refusal { field: Some("name".to_owned()), ..Refusal::new(Code::BadField, message) }
         }
-        anvilhook_core::Error::WouldStrand { by, .. } => {
+        anvilhook_core::Error::StillNeeded { by, .. } => {
             Refusal { needed_by: by, ..Refusal::new(Code::InUse, message) }
         }
     }
