--- a/crates/anvilhook-core/src/admission.rs
+++ b/crates/anvilhook-core/src/admission.rs
@@ -52,8 +52,8 @@
     deadline: Millis,
     now: Millis,
 ) -> Admission {
-    let doubtful = Millis((estimate.0 as f64 * options.estimate_error) as u64);
-    let ready_at = now + estimate + doubtful + options.margin;
+    let error_margin = Millis((estimate.0 as f64 * options.estimate_error) as u64);
+    let ready_at = now + estimate + error_margin + options.margin;
     if ready_at <= deadline {
         return Admission::Run;
     }
--- a/crates/anvilhook-core/src/fleet_size.rs
+++ b/crates/anvilhook-core/src/fleet_size.rs
@@ -12,10 +12,10 @@
 
 use crate::units::Millis;
 
-/// The time from when a started engine is ready until it is listed.
+/// The time that passes, in addition to an engine's start, until it is listed.
 const LISTING_TIME: Millis = Millis(2_500);
 
-/// How long no engines are ordered in a zone that has no reclaimable ones available.
+/// How long a zone that has no reclaimable engines available is skipped.
 const EXHAUSTED_PAUSE: Millis = Millis(1_500);
 
 /// The share of the initial engines that must run or be starting after several zones have lost theirs.
@@ -51,9 +51,9 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SizeOptions {
     /// The maximum number of engines, as a factor of the initial number.
-    pub most: f64,
+    pub max_factor: f64,
     /// The maximum cost, as a share of the cost of the initial engines if all of them were regular.
-    pub most_cost: f64,
+    pub max_cost: f64,
     /// The share of the initial engines that always stays regular.
     pub regular: f64,
 }
@@ -64,15 +64,15 @@
     /// ```
     /// use anvilhook_core::fleet_size::SizeOptions;
     ///
-    /// let options = SizeOptions { most: 2.0, most_cost: 0.4, regular: 0.0 };
+    /// let options = SizeOptions { max_factor: 2.0, max_cost: 0.4, regular: 0.0 };
     /// assert_eq!(options.factor(Some(0.1)), 2.0);
     /// assert_eq!(options.factor(Some(0.25)), 1.6);
     /// assert_eq!(options.factor(Some(0.9)), 1.0);
     /// assert_eq!(options.factor(None), 1.0);
     /// ```
     pub fn factor(&self, reclaimable_price: Option<f64>) -> f64 {
-        let affordable = reclaimable_price.map_or(0.0, |price| self.most_cost / price);
-        affordable.min(self.most).max(1.0)
+        let affordable = reclaimable_price.map_or(0.0, |price| self.max_cost / price);
+        affordable.min(self.max_factor).max(1.0)
     }
 }
 
@@ -164,7 +164,7 @@
 ///
 /// let spec =
 ///     ScalingSpec { min: 1, max: 9, boot: Millis(4_000), reclaimable_price: Some(0.2) };
-/// let mut planner = FleetPlanner::new(SizeOptions { most: 1.5, most_cost: 0.5, regular: 0.0 });
+/// let mut planner = FleetPlanner::new(SizeOptions { max_factor: 1.5, max_cost: 0.5, regular: 0.0 });
 /// let zones = [ZoneEngines { zone: "a".into(), regular: 4, reclaimable: 0 }];
 /// assert_eq!(planner.orders(&spec, &zones, Millis(0)), [], "more engines may still be listed");
 /// let orders = planner.orders(&spec, &zones, Millis(3_000));
@@ -202,9 +202,9 @@
         if listed > self.listed.0 {
             self.listed = (listed, now);
         }
-        let (most, since) = self.listed;
-        if self.usual.is_none() && most > 0 && now >= since + LISTING_TIME {
-            self.usual = Some(most);
+        let (highest, since) = self.listed;
+        if self.usual.is_none() && highest > 0 && now >= since + LISTING_TIME {
+            self.usual = Some(highest);
         }
     }
 
@@ -267,8 +267,8 @@
         let engines = if self.is_exhausted(zone) { share.each } else { share.spread };
         let state = self.zones.entry(Arc::clone(&zone.zone)).or_default();
         let (reclaimable_target, regular_target) = if spec.has_cheap_engines() {
-            // Regular engines of the initial fleet are released as soon as as many reclaimable ones are
-            // listed. Engines that are still starting don't count, since they may not arrive.
+            // Regular engines of the initial fleet are released once the same number of reclaimable ones
+            // is listed. Engines that are about to start are not counted.
             let needed = engines.min(share.first).saturating_sub(reclaimable);
             let min_regular =
                 share.missing.max(share.base).min(spec.max.saturating_sub(reclaimable));
--- a/crates/anvilhook-core/src/leases/sessions.rs
+++ b/crates/anvilhook-core/src/leases/sessions.rs
@@ -69,7 +69,7 @@
 pub struct OwnSession {
     row: SessionRow,
     version: Option<u64>,
-    good_from: Option<Millis>,
+    valid_from: Option<Millis>,
     pending: Option<Pending>,
 }
 
@@ -85,7 +85,7 @@
         let session = SessionRef { instance, epoch };
         let row = SessionRow { session, renewal: 0, length, ended: false };
         let version = stored.map(|(_, version)| version);
-        OwnSession { row, version, good_from: None, pending: None }
+        OwnSession { row, version, valid_from: None, pending: None }
     }
 
     /// Returns the session's reference.
@@ -106,7 +106,7 @@
     /// Returns whether it is time to open or renew the session.
     pub fn is_due(&self, now: Millis, options: &LeaseOptions) -> bool {
         let unsettled = self.pending.is_some();
-        unsettled || self.good_from.is_none_or(|from| now >= from + options.renew_every_ms)
+        unsettled || self.valid_from.is_none_or(|from| now >= from + options.renew_every_ms)
     }
 
     /// Begins the opening or a renewal and returns the row to write. It must be called before the
@@ -128,7 +128,7 @@
         let Some(pending) = self.pending.take() else { return };
         self.row = pending.row;
         self.version = Some(self.version.unwrap_or(0) + 1);
-        self.good_from = Some(pending.sent_at);
+        self.valid_from = Some(pending.sent_at);
     }
 
     /// Records the row as read after a lost answer or a conflict. Returns whether the session is active.
@@ -136,7 +136,7 @@
         let Some((row, version)) = stored else {
             // If the opening has not taken effect, it may still be resent. A row that existed before and
             // is missing now was ended and removed.
-            return if self.good_from.is_none() {
+            return if self.valid_from.is_none() {
                 SessionStatus::Active
             } else {
                 SessionStatus::Ended
@@ -148,7 +148,7 @@
             return SessionStatus::Active;
         }
         if Some(version) == self.version
-            && (row.is_active_for(self.session()) || self.good_from.is_none())
+            && (row.is_active_for(self.session()) || self.valid_from.is_none())
         {
             return SessionStatus::Active;
         }
@@ -156,8 +156,8 @@
     }
 
     /// Returns until when the session holds, on this instance's clock.
-    pub fn good_until(&self) -> Option<Millis> {
-        self.good_from.map(|from| from + self.row.length)
+    pub fn valid_until(&self) -> Option<Millis> {
+        self.valid_from.map(|from| from + self.row.length)
     }
 
     /// Returns whether an order may be given now.
@@ -165,6 +165,6 @@
     /// Without the guard interval, an order that is checked just before the lease ends would arrive
     /// after a successor has begun: an engine would receive orders of two terms in mixed order.
     pub fn may_order(&self, now: Millis, options: &LeaseOptions) -> bool {
-        self.good_until().is_some_and(|until| now + options.guard_ms < until)
+        self.valid_until().is_some_and(|until| now + options.guard_ms < until)
     }
 }
--- a/crates/anvilhook-core/src/names.rs
+++ b/crates/anvilhook-core/src/names.rs
@@ -15,12 +15,12 @@
 
 fn check(kind: &'static str, text: &str) -> Result<()> {
     let is_alnum = |c: char| c.is_ascii_lowercase() || c.is_ascii_digit();
-    let good = !text.is_empty()
+    let is_valid = !text.is_empty()
         && text.len() <= MAX_NAME_LEN
         && text.chars().all(|c| is_alnum(c) || c == '-' || c == '.')
         && text.starts_with(is_alnum)
         && text.ends_with(is_alnum);
-    if good { Ok(()) } else { Err(Error::bad_name(kind, text)) }
+    if is_valid { Ok(()) } else { Err(Error::bad_name(kind, text)) }
 }
 
 macro_rules! names {
--- a/crates/anvilhook-core/src/pacing.rs
+++ b/crates/anvilhook-core/src/pacing.rs
@@ -20,7 +20,7 @@
 const READING_SHARE: f64 = 0.4;
 
 /// A prompt whose prefill takes less than this share of the tightest objective is sent at once.
-/// Delaying it would not noticeably help the prompts that could pass it.
+/// Delaying it so that others can pass it would gain nothing.
 const SHORT_SHARE: f64 = 0.2;
 
 /// How many streams beyond its slots an engine may be sent if they end within their own objective, as a
--- a/crates/anvilhook-core/src/quarantine.rs
+++ b/crates/anvilhook-core/src/quarantine.rs
@@ -35,7 +35,7 @@
     /// How long a successful run clears a request of ends that are reported meanwhile.
     pub clearance: Millis,
     /// The maximum number of suspected requests, and of requests with a recorded successful run.
-    pub most: usize,
+    pub max_requests: usize,
 }
 
 impl Default for QuarantineOptions {
@@ -45,7 +45,7 @@
             ends_among_others: 5,
             memory: Millis::from_secs(600),
             clearance: Millis::from_secs(60),
-            most: 4_096,
+            max_requests: 4_096,
         }
     }
 }
@@ -310,7 +310,8 @@
     /// Records a successful run of a request, which clears it. Returns whether it was suspected.
     pub fn record_success(&mut self, request: Fingerprint, now: Millis) -> bool {
         while let Some((oldest, at)) = self.success_order.front().copied()
-            && (at + self.options.clearance <= now || self.success_order.len() >= self.options.most)
+            && (at + self.options.clearance <= now
+                || self.success_order.len() >= self.options.max_requests)
         {
             self.success_order.pop_front();
             if self.successes.get(&oldest) == Some(&at) {
@@ -337,7 +338,7 @@
     /// Removes the evidence against a request, on an operator's order. Returns whether there was any.
     pub fn lift(&mut self, request: Fingerprint, now: Millis) -> bool {
         let is_known = self.suspects.remove(&request).is_some();
-        if is_known && self.cleared.len() < self.options.most {
+        if is_known && self.cleared.len() < self.options.max_requests {
             self.cleared.insert(request, now);
         }
         is_known
@@ -361,7 +362,7 @@
 
     /// Removes the suspect with the least evidence if there is no room for another one.
     fn make_room(&mut self) {
-        if self.suspects.len() < self.options.most {
+        if self.suspects.len() < self.options.max_requests {
             return;
         }
         let weight = |suspect: &Suspect| (suspect.ends.len(), suspect.seen_at);
--- a/crates/anvilhook-core/tests/fleet_sizes.rs
+++ b/crates/anvilhook-core/tests/fleet_sizes.rs
@@ -17,7 +17,7 @@
 
 /// Returns options by which there are as many engines as at first.
 fn options() -> SizeOptions {
-    SizeOptions { most: 1.0, most_cost: 1.0, regular: 0.0 }
+    SizeOptions { max_factor: 1.0, max_cost: 1.0, regular: 0.0 }
 }
 
 /// `Starting` is engines that were ordered and don't serve yet.
@@ -193,7 +193,7 @@
 /// have started.
 #[test]
 fn verify_spare_engines_carry_the_load_while_two_zones_lose_theirs() {
-    let spare = SizeOptions { most: 2.0, most_cost: 0.5, ..options() };
+    let spare = SizeOptions { max_factor: 2.0, max_cost: 0.5, ..options() };
     let mut fleet = Fleet::of_regular(19, spare);
     fleet.run(Millis(40_000));
     assert_eq!((fleet.total(), fleet.least), (114, 57));
@@ -212,7 +212,7 @@
 #[test]
 fn verify_a_fleet_without_reclaimable_engines_stays_as_it_is() {
     let spec = ScalingSpec { reclaimable_price: None, ..spec() };
-    let mut planner = FleetPlanner::new(SizeOptions { most: 2.0, ..options() });
+    let mut planner = FleetPlanner::new(SizeOptions { max_factor: 2.0, ..options() });
     let zone = |regular| [ZoneEngines { zone: Arc::from("a"), regular, reclaimable: 0 }];
     for at in 0..40 {
         assert_eq!(planner.orders(&spec, &zone(19), Millis(at * 250)), []);
--- a/crates/anvilhook-core/tests/leases.rs
+++ b/crates/anvilhook-core/tests/leases.rs
@@ -110,7 +110,7 @@
         (Some((&other, 2)), SessionStatus::Ended, 9_000),
         (None, SessionStatus::Ended, 9_000),
     ];
-    for (standing, fate, good_until) in cases {
+    for (standing, fate, valid_until) in cases {
         let (mut own, _) = opened(&options, Millis::ZERO);
         assert!(own.is_due(Millis(3_000), &options));
         own.begin(Millis(3_000));
@@ -120,9 +120,9 @@
         let learnt = own.read_back(standing);
 
         assert_eq!(learnt, fate, "{standing:?}");
-        assert_eq!(own.good_until(), Some(Millis(good_until)), "{standing:?}");
-        assert!(!own.may_order(Millis(good_until - options.guard_ms.0), &options));
-        assert!(own.may_order(Millis(good_until - options.guard_ms.0 - 1), &options));
+        assert_eq!(own.valid_until(), Some(Millis(valid_until)), "{standing:?}");
+        assert!(!own.may_order(Millis(valid_until - options.guard_ms.0), &options));
+        assert!(own.may_order(Millis(valid_until - options.guard_ms.0 - 1), &options));
     }
 }
 
--- a/crates/anvilhook-core/tests/quarantine.rs
+++ b/crates/anvilhook-core/tests/quarantine.rs
@@ -145,7 +145,7 @@
 /// Suspects without end fill the memory, or those with the most against them are forgotten first.
 #[test]
 fn verify_the_book_is_bounded_and_keeps_the_worst() {
-    let options = QuarantineOptions { most: 4, ..QuarantineOptions::default() };
+    let options = QuarantineOptions { max_requests: 4, ..QuarantineOptions::default() };
     let mut book = QuarantineTracker::new(options);
     end_under(&mut book, 3, Millis::ZERO);
 
--- a/crates/anvilhook-gateway/tests/duties.rs
+++ b/crates/anvilhook-gateway/tests/duties.rs
@@ -296,7 +296,7 @@
     }
 }
 
-const SIZES: SizeOptions = SizeOptions { most: 1.0, most_cost: 1.0, regular: 0.0 };
+const SIZES: SizeOptions = SizeOptions { max_factor: 1.0, max_cost: 1.0, regular: 0.0 };
 
 /// Returns listed engines of a zone.
 fn engines(zone: &str, count: usize, reclaimable: bool) -> Vec<Entry> {
