--- a/crates/anvilhook-core/src/leases/sessions.rs
+++ b/crates/anvilhook-core/src/leases/sessions.rs
@@ -131,7 +131,7 @@
         self.valid_from = Some(pending.sent_at);
     }
 
-    /// Records the row as read after a lost answer or a conflict. Returns whether the session is active.
+    /// Records the row as read after a lost answer or a conflict, and returns the session's status.
     pub fn read_back(&mut self, stored: Option<(&SessionRow, u64)>) -> SessionStatus {
         let Some((row, version)) = stored else {
             // If the opening has not taken effect, it may still be resent. A row that existed before and
