--- a/crates/anvilhook-core/src/resources/changes.rs
+++ b/crates/anvilhook-core/src/resources/changes.rs
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// `Error::BadField` for a field of the change's own spec that breaks a rule, names a resource that
-    /// is not declared, or claims an identity that another resource has. `Error::WouldStrand` if another
+    /// is not declared, or claims an identity that another resource has. `Error::StillNeeded` if another
     /// resource would lose something that it refers to.
     pub fn check(&self, base: &Configuration) -> Result<()> {
         let after = base.with_change(base.revision(), self);
@@ -72,7 +72,7 @@
         if stranded.is_empty() {
             return Ok(());
         }
-        Err(Error::would_strand(&self.key, stranded))
+        Err(Error::still_needed(&self.key, stranded))
     }
 
     /// Lists the resources whose references hold before the change but not after it, and the pools that
