--- a/crates/anvilhook-peer/schema/peer.capnp
+++ b/crates/anvilhook-peer/schema/peer.capnp
@@ -1,30 +1,30 @@
-# What instances say to each other. All of it is hints and acknowledgements: losing any message
-# may cost time, never correctness.
+# The protocol between instances. It carries only hints and acknowledgements: losing a message may
+# cost time, but never correctness.
 @0xd7c4a1f09b3e6258;
 
 interface Gate {
-  # What a connection offers before both sides have proved that they hold the shared key.
+  # The interface of a connection until both sides have proved that they hold the shared key.
 
   challenge @0 (nonce :Data, name :Text) -> (nonce :Data, name :Text, proof :Data);
-  # Takes the caller's nonce and name; answers with the callee's nonce, name and proof.
+  # Receives the caller's nonce and name, and returns the callee's nonce, name and proof.
 
   admit @1 (proof :Data, peer :Peer) -> (peer :Peer);
-  # Takes the caller's proof over both nonces and exchanges the interfaces of the two peers.
+  # Checks the caller's proof over both nonces and exchanges the interfaces of the two peers.
 }
 
 interface Peer {
-  # What a peer offers to a partner that has proved itself.
+  # The interface of a peer for an authenticated partner.
 
   push @0 (update :Update) -> ();
-  # Merges news. The answer confirms the merge. An empty update is a heartbeat.
+  # Merges an update. The response confirms the merge. An empty update is a heartbeat.
 
   configuration @1 (have :UInt64) -> (transfer :Transfer);
-  # Answers with the newest configuration, as a change of revision `have` where that is known.
+  # Returns the newest configuration, as a change based on revision `have` if that is still known.
 }
 
 struct Update {
   revision @0 :UInt64;
-  # The newest configuration that the sender holds.
+  # The revision of the newest configuration that the sender has.
 
   acks @1 :List(AckSection);
   load @2 :List(LoadSection);
@@ -36,13 +36,13 @@
   # The instance that wrote the section.
 
   version @1 :UInt64;
-  # Grows with each section of the same kind that the origin writes.
+  # Increases with each section of the same kind that the origin writes.
 
   ageMs @2 :UInt32;
-  # How long ago it was written, as the sender reckons.
+  # How long ago the section was written, as estimated by the sender.
 
   hops @3 :UInt8;
-  # How many links it has crossed, this one included.
+  # How many links the section has crossed, including this one.
 }
 
 struct AckSection {
@@ -105,7 +105,7 @@
   accounts @1 :List(AccountDemand);
 
   hearsAll @2 :Bool;
-  # Whether the origin hears the demand of all listed instances.
+  # Whether the origin receives the demand of all listed instances.
 }
 
 struct AccountDemand {
@@ -116,7 +116,7 @@
 
 struct Transfer {
   base @0 :UInt64;
-  # The revision that the bytes are a change of; 0 if they are a whole configuration.
+  # The revision that the change is based on; 0 if the configuration is complete.
 
   revision @1 :UInt64;
   json @2 :Data;
--- a/crates/anvilhook-peer/src/authentication.rs
+++ b/crates/anvilhook-peer/src/authentication.rs
@@ -1,8 +1,9 @@
-//! The proof, in both directions, that the other end of a connection holds the shared key.
+//! Mutual authentication: each end of a connection proves that it holds the shared key.
 //!
-//! The caller sends its nonce; the callee answers with its own nonce and its proof over both; the
-//! caller checks it and answers with its proof and its interface; the callee checks that and answers
-//! with its interface. Neither side's interface can be reached before the other has proved itself.
+//! The caller sends its nonce. The callee responds with its own nonce and a proof over both. The
+//! caller checks this proof and sends its own proof with its interface. The callee checks that proof
+//! and responds with its interface. An end exposes its interface only after it has authenticated
+//! the other end.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,26 +23,26 @@
 use crate::links::services::{PeerService, to_capnp};
 use crate::peer_capnp::{gate, peer};
 
-/// `EstablishedLink` is a link that stands, with the other side's interface.
+/// `EstablishedLink` is an authenticated link with the remote side's interface.
 pub(crate) struct EstablishedLink<C: Clock> {
     pub(crate) guard: LinkGuard<C>,
     pub(crate) partner: peer::Client,
 }
 
-/// Draws a nonce that nobody can foresee.
+/// Generates an unpredictable nonce.
 fn draw_nonce() -> Vec<u8> {
     let mut buf = vec![0; NONCE_BYTES];
-    // The system's own generator does not fail once the machine has started.
+    // The system's random number generator does not fail once the machine has started.
     SysRng.try_fill_bytes(&mut buf).expect("the system's random numbers");
     buf
 }
 
-/// Proves this instance to the callee and checks the callee's proof.
+/// Authenticates this instance to the callee, and the callee to this instance.
 ///
 /// # Errors
 ///
 /// `Error::NotAuthentic` if the callee does not hold the key; `Error::LinkRejected` if it is not the
-/// instance that was expected; `Error::Broken` if the callee refuses.
+/// expected instance or another link to it is preferred; `Error::Broken` if the callee refuses.
 pub(crate) async fn call_gate<C: Clock>(
     hub: &Rc<Hub<C>>,
     gate: &gate::Client,
@@ -84,17 +85,17 @@
     Ok(answer.get()?.get_peer()?)
 }
 
-/// `Gate` is what a connection offers before the caller has proved itself.
+/// `Gate` serves an accepted connection until the caller has authenticated itself.
 pub(crate) struct Gate<C: Clock> {
     hub: Rc<Hub<C>>,
     meter: Rc<Meter>,
-    // The handshake that waits for the caller's proof. Each is good for one attempt.
+    // The handshake that awaits the caller's proof. It is valid for one attempt.
     pending: RefCell<Option<Handshake>>,
     admitted: RefCell<Option<oneshot::Sender<EstablishedLink<C>>>>,
 }
 
 impl<C: Clock> Gate<C> {
-    /// Makes the gate of one connection, which sends the link when it stands.
+    /// Creates the gate of one connection. It sends the link over `admitted` once it is established.
     pub(crate) fn new(
         hub: Rc<Hub<C>>,
         meter: Rc<Meter>,
@@ -144,7 +145,7 @@
         let link = guard.link;
         let service = PeerService { hub: Rc::clone(&self.hub), link };
         results.get().set_peer(capnp_rpc::new_client(service));
-        // If the connection's task has given up meanwhile, the link is dropped and so closed.
+        // If the connection's task was cancelled meanwhile, the link is dropped, which closes it.
         let _ = admitted.send(EstablishedLink { guard, partner });
         Ok(())
     }
--- a/crates/anvilhook-peer/src/codecs.rs
+++ b/crates/anvilhook-peer/src/codecs.rs
@@ -1,4 +1,4 @@
-//! Messages in the form of the schema, and back.
+//! Converts messages to and from the Cap'n Proto schema.
 
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
 ///
 /// # Errors
 ///
-/// `Error::Codec` if any part of it makes no sense.
+/// `Error::Codec` if any part of it is invalid.
 pub(crate) fn read_update(from: update::Reader<'_>) -> Result<Update> {
     Ok(Update {
         revision: Revision(from.get_revision()),
@@ -58,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// `Error::Codec` if any part of it makes no sense.
+/// `Error::Codec` if any part of it is invalid.
 pub(crate) fn read_transfer(from: transfer::Reader<'_>) -> Result<Transfer> {
     Ok(Transfer {
         base: Revision(from.get_base()),
@@ -71,7 +71,7 @@
 ///
 /// # Errors
 ///
-/// `Error::Codec` if the text cannot be one.
+/// `Error::Codec` if the text is not a valid name.
 pub(crate) fn read_name<N>(text: capnp::Result<capnp::text::Reader<'_>>) -> Result<N>
 where
     N: std::str::FromStr<Err = anvilhook_core::Error>,
@@ -191,7 +191,7 @@
         0 => Role::Prefill,
         1 => Role::Decode,
         2 => Role::Mixed,
-        other => return Err(Error::codec(format!("no role has the number {other}"))),
+        other => return Err(Error::codec(format!("unknown role number {other}"))),
     };
     let report = LoadReport {
         boot: from.get_boot(),
@@ -219,7 +219,7 @@
     for (at, digest) in (0..).zip(&item.body.accounts) {
         let mut account: account_demand::Builder<'_> = accounts.reborrow().get(at);
         account.set_account(digest.account.as_str());
-        // The cast clamps what does not fit.
+        // The cast saturates at the bounds of u32.
         account.set_milli_requests_per_s((digest.requests_per_s * 1_000.0) as u32);
         account.set_open_requests(digest.open_requests);
     }
--- a/crates/anvilhook-peer/src/gossip/budgets.rs
+++ b/crates/anvilhook-peer/src/gossip/budgets.rs
@@ -1,10 +1,10 @@
-//! How often and how far sections may travel, so that a node's traffic stays within a budget
-//! whatever the number of instances.
+//! Computes how often and how far sections are sent, so that a node's traffic stays within a budget
+//! for any number of instances.
 
 use anvilhook_core::units::Millis;
 
-/// Returns about how many instances' sections arrive at one instance that has `degree` partners, if
-/// a section crosses at most `hops` links.
+/// Returns the approximate number of instances whose sections reach an instance with `degree`
+/// partners, including its own, if a section crosses at most `hops` links.
 ///
 /// ```
 /// use anvilhook_peer::gossip::reach;
@@ -26,11 +26,11 @@
     total
 }
 
-/// Returns about how many sections one instance sends and receives when each instance writes one and
-/// it crosses at most `hops` links.
+/// Returns the approximate number of sections that one instance sends and receives when each
+/// instance writes one section that crosses at most `hops` links.
 ///
-/// Each section that an instance may pass on crosses each of its links once, in one direction or the
-/// other; those at the end of their way only come in.
+/// A section that an instance may relay crosses each of its links once, in one direction or the
+/// other. A section that has reached its last hop is only received.
 ///
 /// ```
 /// use anvilhook_peer::gossip::traffic;
@@ -43,15 +43,15 @@
     inner * degree + (reach(instances, degree, hops) - inner)
 }
 
-/// Returns the least time between two sections of one instance, if it sends and receives `sections`
-/// for each that it writes.
+/// Returns the minimum time between two sections of one instance, if it sends and receives
+/// `sections` sections for each one that it writes.
 pub fn spacing(sections: usize, section_bytes: usize, bytes_per_s: u32) -> Millis {
     let bytes = (sections * section_bytes) as u64;
     Millis(bytes * 1_000 / u64::from(bytes_per_s.max(1)))
 }
 
-/// Returns the most links that a section may cross so that one written every `interval` stays
-/// within the budget; at least one.
+/// Returns the maximum number of links that a section written every `interval` may cross within the
+/// budget; at least one.
 pub fn hops_within(
     instances: usize,
     degree: usize,
--- a/crates/anvilhook-peer/src/gossip/configurations.rs
+++ b/crates/anvilhook-peer/src/gossip/configurations.rs
@@ -1,4 +1,5 @@
-//! The newest configuration and the few before it, and how a partner is brought up to date.
+//! Caches the newest configuration and a few earlier ones, and creates the transfers that bring a
+//! partner up to date.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -10,19 +11,21 @@
 use super::messages::Transfer;
 use crate::errors::{Error, Result};
 
-/// How many earlier configurations are kept to answer with a change. They share their resources.
+/// How many configurations are retained, so that a pull can be answered with a change. They share
+/// their resources.
 const RETAINED_REVISIONS: usize = 16;
 
-/// `ConfigurationCache` holds the newest configuration known, and some earlier ones. It never goes back
-/// to a lower revision.
+/// `ConfigurationCache` holds the newest known configuration and some earlier ones. Its revision
+/// never decreases.
 #[derive(Debug, Default)]
 pub struct ConfigurationCache {
-    // The newest last.
+    // The newest configuration is last.
     retained: VecDeque<Arc<Configuration>>,
+    // The transfer of the complete newest configuration, once it was needed.
     full: Option<Transfer>,
 }
 
-/// `Change` leads from one configuration to another.
+/// `Change` holds the difference between two configurations.
 #[derive(Deserialize, Serialize)]
 struct Change {
     put: Vec<Arc<Resource>>,
@@ -30,7 +33,7 @@
 }
 
 impl ConfigurationCache {
-    /// Returns the newest revision, or zero.
+    /// Returns the newest revision, or zero if there is no configuration.
     pub fn revision(&self) -> Revision {
         self.newest().map_or(Revision(0), |newest| newest.revision())
     }
@@ -40,7 +43,7 @@
         self.retained.back()
     }
 
-    /// Takes a configuration if it is newer, and returns whether it was.
+    /// Stores a configuration if it is newer than the newest known, and returns whether it was.
     pub fn offer(&mut self, offered: Arc<Configuration>) -> bool {
         if offered.revision() <= self.revision() {
             return false;
@@ -53,7 +56,8 @@
         true
     }
 
-    /// Answers a partner who holds revision `have`; nothing if it holds as much.
+    /// Returns the transfer for a partner that has revision `have`, or `None` if the partner is up to
+    /// date.
     ///
     /// # Errors
     ///
@@ -74,12 +78,13 @@
         Ok(self.full.clone())
     }
 
-    /// Takes a transfer if it is newer, and returns whether it was.
+    /// Applies a transfer if it is newer than the newest known configuration, and returns whether it
+    /// was.
     ///
     /// # Errors
     ///
-    /// `Error::Codec` if it cannot be decoded; `Error::UnknownBase` if it is a change of a revision
-    /// that is not held, so that the whole must be asked for.
+    /// `Error::Codec` if the transfer cannot be decoded; `Error::UnknownBase` if it is a change based
+    /// on a revision that is not retained, so that the complete configuration must be requested.
     pub fn apply(&mut self, transfer: &Transfer) -> Result<bool> {
         if transfer.revision <= self.revision() {
             return Ok(false);
@@ -93,7 +98,7 @@
             base.changed(transfer.revision, change.put, &change.deleted)
         };
         if next.revision() != transfer.revision {
-            return Err(Error::codec("the configuration's revision is not the transfer's"));
+            return Err(Error::codec("the configuration's revision differs from the transfer's"));
         }
         Ok(self.offer(Arc::new(next)))
     }
--- a/crates/anvilhook-peer/src/gossip/knowledge.rs
+++ b/crates/anvilhook-peer/src/gossip/knowledge.rs
@@ -1,4 +1,4 @@
-//! What a node knows of all instances, its own sections included.
+//! The sections of all instances that a node has, including its own.
 
 use std::collections::BTreeSet;
 
@@ -11,24 +11,24 @@
 use super::partner_states::Known;
 use super::sections::{AckSection, DemandSection, LoadSection, Section};
 
-/// The most links that acknowledgements and demand cross. It exceeds the diameter of any fleet that
-/// the rings connect, and stops what might travel in circles.
+/// The maximum number of links that acknowledgements and demand cross. It exceeds the diameter of
+/// any fleet that the rings connect, and stops sections that would circulate forever.
 pub(super) const MAX_HOPS: u8 = 32;
 
-/// `ChangedSections` says which parts of a node's knowledge have changed.
+/// `ChangedSections` records which parts of a node's knowledge have changed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct ChangedSections {
-    /// A newer configuration has come.
+    /// Whether a newer configuration was received.
     pub configuration: bool,
-    /// Acknowledgements have changed.
+    /// Whether acknowledgements have changed.
     pub acks: bool,
-    /// Load digests have changed.
+    /// Whether load sections have changed.
     pub load: bool,
-    /// Account demand has changed.
+    /// Whether demand sections have changed.
     pub demand: bool,
 }
 
-/// `Knowledge` holds the newest sections of all kinds.
+/// `Knowledge` holds the newest section of each kind from each instance.
 #[derive(Debug)]
 pub(super) struct Knowledge {
     pub(super) announced: BTreeSet<InstanceName>,
@@ -39,7 +39,7 @@
 }
 
 impl Knowledge {
-    /// Makes that of an instance, without a section.
+    /// Creates the knowledge of an instance, without any section.
     pub(super) fn new(me: &InstanceName, options: &GossipOptions) -> Self {
         let bounds = |max_age| SectionBounds {
             max_age,
@@ -49,7 +49,8 @@
         };
         Self {
             announced: BTreeSet::from([me.clone()]),
-            // Acknowledgements stand until they are replaced or their writer is long gone.
+            // Acknowledgements never expire by age. They are valid until they are replaced or their
+            // writer has not been announced for the retention time.
             acks: LatestSections::new(bounds(Millis::MAX)),
             load: LatestSections::new(bounds(options.load_max_age)),
             demand: LatestSections::new(bounds(options.demand_max_age)),
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Merges an update and returns what was news. What `me` writes is not learnt from others.
+    /// Merges an update and returns which sections changed. Sections that `me` wrote are skipped.
     pub(super) fn merge(
         &mut self,
         me: &InstanceName,
@@ -77,14 +78,15 @@
         changes
     }
 
-    /// Ages sections out and notes what that has changed.
+    /// Expires old sections and records the changes.
     pub(super) fn expire(&mut self, now: Millis, changes: &mut ChangedSections) {
         changes.acks |= self.acks.expire(&self.announced, now);
         changes.load |= self.load.expire(&self.announced, now);
         changes.demand |= self.demand.expire(&self.announced, now);
     }
 
-    /// Collects what a partner does not know yet, the urgent first, up to the size limit.
+    /// Collects the sections that a partner does not have yet, up to the size limit. Acknowledgements
+    /// come first because they are urgent.
     pub(super) fn update_for(&self, known: &Known, revision: Revision, now: Millis) -> Update {
         let mut remaining_bytes = self.max_update_bytes;
         Update {
--- a/crates/anvilhook-peer/src/gossip/latest_sections.rs
+++ b/crates/anvilhook-peer/src/gossip/latest_sections.rs
@@ -1,4 +1,4 @@
-//! The newest section of one kind by each instance, and how news is merged into it.
+//! Stores the newest section of one kind from each instance and merges received sections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,29 +9,29 @@
 use super::messages::Item;
 use super::sections::Section;
 
-/// `SectionBounds` bounds which sections of a kind are taken and kept.
+/// `SectionBounds` limits which sections of a kind are accepted and retained.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SectionBounds {
-    /// The age from which a section no longer counts.
+    /// The age beyond which a section is ignored.
     pub max_age: Millis,
-    /// The most links that a section crosses.
+    /// The maximum number of links that a section crosses.
     pub max_hops: u8,
-    /// The most origins that are kept.
+    /// The maximum number of origins that are retained.
     pub max_origins: usize,
-    /// How long anything is kept of an origin that is not announced.
+    /// How long the section of an origin that is not announced is retained.
     pub retention: Millis,
 }
 
-/// `ReceivedSection` is a section as it was heard.
+/// `ReceivedSection` is a section with the time and its age at which it was received.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedSection<T> {
-    /// Its number among the origin's sections of this kind.
+    /// The section's number among the origin's sections of this kind.
     pub version: u64,
-    /// When it was heard, on the own clock.
+    /// When the section was received, on this instance's clock.
     pub received_at: Millis,
-    /// How old it was then.
+    /// How old the section was when it was received.
     pub age: Millis,
-    /// The section.
+    /// The section's content.
     pub body: Arc<T>,
 }
 
@@ -46,12 +46,12 @@
 struct Entry<T> {
     received: ReceivedSection<T>,
     hops: u8,
-    // An aged section stays as a mark: without it, an older one that arrives late would be taken
-    // for news, because its age on the wire leaves out the time that it was under way.
+    // An expired section stays as a marker. Without it, an older section that arrives late would be
+    // accepted as new, because its age on the wire excludes the time in transit.
     expired: bool,
 }
 
-/// `LatestSections` holds the newest section of one kind by each instance.
+/// `LatestSections` holds the newest section of one kind from each instance.
 #[derive(Debug)]
 pub struct LatestSections<T> {
     bounds: SectionBounds,
@@ -59,17 +59,17 @@
 }
 
 impl<T: Section> LatestSections<T> {
-    /// Makes one without a section.
+    /// Creates an empty collection.
     pub fn new(bounds: SectionBounds) -> Self {
         Self { bounds, entries: BTreeMap::new() }
     }
 
-    /// Changes the most links that a section crosses.
+    /// Sets the maximum number of links that a section crosses.
     pub fn set_max_hops(&mut self, max_hops: u8) {
         self.bounds.max_hops = max_hops;
     }
 
-    /// Writes an instance's own section under the next number.
+    /// Stores an instance's own section under the next number.
     pub fn write(&mut self, origin: &InstanceName, body: T, now: Millis) {
         let version = self.version(origin) + 1;
         let received =
@@ -77,12 +77,12 @@
         self.entries.insert(origin.clone(), Entry { received, hops: 0, expired: false });
     }
 
-    /// Returns the highest number seen from an origin, or zero.
+    /// Returns the highest number seen from an origin, or zero if there is none.
     pub fn version(&self, origin: &InstanceName) -> u64 {
         self.entries.get(origin).map_or(0, |entry| entry.received.version)
     }
 
-    /// Merges a section and returns whether it was news.
+    /// Merges a section and returns whether it was new.
     pub fn merge(
         &mut self,
         item: &Item<T>,
@@ -94,7 +94,7 @@
             return false;
         }
         if let Some(entry) = self.entries.get_mut(&item.origin) {
-            // A shorter way of the same section lets it go further on.
+            // A copy that arrived over fewer links can be relayed further.
             if entry.received.version == item.version {
                 entry.hops = entry.hops.min(item.hops);
             }
@@ -115,8 +115,8 @@
         true
     }
 
-    /// Ages sections out, forgets origins long gone, and returns whether that changed anything that
-    /// counts.
+    /// Expires old sections, removes origins that have not been announced for the retention time,
+    /// and returns whether the set of unexpired sections changed.
     pub fn expire(&mut self, announced: &BTreeSet<InstanceName>, now: Millis) -> bool {
         let bounds = self.bounds;
         let mut changed = false;
@@ -135,7 +135,7 @@
         changed
     }
 
-    /// Returns the sections to tell a partner who knows the given numbers.
+    /// Returns the sections to send to a partner that has the given numbers.
     pub fn updates_for<'a>(
         &'a self,
         known: &'a BTreeMap<InstanceName, u64>,
@@ -155,7 +155,7 @@
         })
     }
 
-    /// Returns the sections of all instances but one that have not aged.
+    /// Returns the unexpired sections of all instances except `me`.
     pub fn from_others(&self, me: &InstanceName) -> BTreeMap<InstanceName, ReceivedSection<T>> {
         let others = self.entries.iter().filter(|(origin, entry)| *origin != me && !entry.expired);
         others.map(|(origin, entry)| (origin.clone(), entry.received.clone())).collect()
--- a/crates/anvilhook-peer/src/gossip/messages.rs
+++ b/crates/anvilhook-peer/src/gossip/messages.rs
@@ -7,35 +7,35 @@
 
 use super::sections::{AckSection, DemandSection, LoadSection};
 
-/// `LinkId` names one connection within one instance. It is never used again.
+/// `LinkId` identifies one connection within one instance. It is never reused.
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd)]
 pub struct LinkId(pub u64);
 
-/// `Item` is a section on its way.
+/// `Item` is a section in an update, with its header.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Item<T> {
-    /// The instance that wrote it.
+    /// The instance that wrote the section.
     pub origin: InstanceName,
-    /// Its number among the origin's sections of this kind.
+    /// The section's number among the origin's sections of this kind.
     pub version: u64,
-    /// How long ago it was written, as the sender reckons.
+    /// How long ago the section was written, as estimated by the sender.
     pub age: Millis,
-    /// How many links it has crossed, this one included.
+    /// How many links the section has crossed, including this one.
     pub hops: u8,
-    /// The section.
+    /// The section's content.
     pub body: Arc<T>,
 }
 
-/// `Update` is what one partner tells the other. An empty one is a heartbeat.
+/// `Update` carries sections from one partner to the other. An empty update is a heartbeat.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Update {
-    /// The newest configuration that the sender holds.
+    /// The revision of the newest configuration that the sender has.
     pub revision: Revision,
-    /// Acknowledgements.
+    /// Acknowledgement sections.
     pub acks: Vec<Item<AckSection>>,
-    /// Load digests.
+    /// Load sections.
     pub load: Vec<Item<LoadSection>>,
-    /// Account demand.
+    /// Demand sections.
     pub demand: Vec<Item<DemandSection>>,
 }
 
@@ -46,43 +46,43 @@
     }
 }
 
-/// `Transfer` carries a configuration, whole or as a change.
+/// `Transfer` carries a configuration, either complete or as a change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Transfer {
-    /// The revision that the bytes are a change of; zero if they are a whole configuration.
+    /// The revision that the change is based on; zero if the configuration is complete.
     pub base: Revision,
-    /// The revision that they lead to.
+    /// The revision of the resulting configuration.
     pub revision: Revision,
-    /// The bytes.
+    /// The configuration or the change as JSON.
     pub json: Arc<[u8]>,
 }
 
 /// `Message` is one message between two partners.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// News, which the receiver confirms.
+    /// Carries an update, which the receiver confirms.
     Update {
         /// The update's number on this link.
         seq: u64,
-        /// The news.
+        /// The update.
         update: Arc<Update>,
     },
-    /// The news has been merged.
+    /// Confirms that an update has been merged.
     Confirm {
         /// The update's number.
         seq: u64,
     },
     /// Asks for the newest configuration.
     Pull {
-        /// The revision that the asker holds.
+        /// The revision that the requesting instance has.
         have: Revision,
     },
     /// Answers a pull.
     Transfer(Transfer),
 }
 
-/// `Transport` carries messages to partners. It may lose, delay, repeat and reorder them.
+/// `Transport` sends messages to partners. It may lose, delay, repeat and reorder them.
 pub trait Transport {
-    /// Sends a message over a link, if the link is still there.
+    /// Sends a message over a link if the link is still open.
     fn send(&mut self, link: LinkId, message: Message);
 }
--- a/crates/anvilhook-peer/src/gossip/mod.rs
+++ b/crates/anvilhook-peer/src/gossip/mod.rs
@@ -1,9 +1,9 @@
-//! The pure part of the link: no I/O, no time of its own.
+//! The pure part of the link. It performs no I/O and receives the time from its caller.
 //!
 //! Each instance writes three sections about itself: acknowledgements, load and account demand. A
-//! section is replaced as a whole and numbered, so merging keeps the highest number of each origin
-//! and can be repeated, reordered or left out without harm. The configuration's revision travels
-//! with every update; the bytes are pulled by the one that lacks them.
+//! section is numbered and always replaced as a whole. Merging retains the highest number from each
+//! origin, so messages can be repeated, reordered or lost without harm. Every update carries the
+//! configuration's revision; an instance that does not have that revision pulls the bytes.
 
 mod budgets;
 mod configurations;
--- a/crates/anvilhook-peer/src/gossip/nodes.rs
+++ b/crates/anvilhook-peer/src/gossip/nodes.rs
@@ -1,4 +1,4 @@
-//! What one instance tells its partners, and when.
+//! Determines what one instance sends to its partners and when.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -17,7 +17,7 @@
 use super::sections::{AckSection, DemandSection, LoadSection, Section};
 use crate::errors::{Error, Result};
 
-/// `GossipNode` is one instance's part in the gossip.
+/// `GossipNode` is the gossip state machine of one instance.
 #[derive(Debug)]
 pub struct GossipNode {
     me: InstanceName,
@@ -25,19 +25,19 @@
     knowledge: Knowledge,
     cache: ConfigurationCache,
     partners: BTreeMap<LinkId, Partner>,
-    // Own sections that wait for their time, and when the last ones were written.
+    // The own sections that wait until the budget allows them, and when the last ones were written.
     next_load: Option<LoadSection>,
     load_written_at: Option<Millis>,
     next_demand: Option<DemandSection>,
     demand_written_at: Option<Millis>,
-    // The pull under way.
+    // The pull in flight and when it was sent.
     pull: Option<(LinkId, Millis)>,
     last_seq: u64,
     changes: ChangedSections,
 }
 
 impl GossipNode {
-    /// Makes a node that knows nothing.
+    /// Creates a node without sections, configuration and links.
     pub fn new(me: InstanceName, options: GossipOptions) -> Self {
         Self {
             knowledge: Knowledge::new(&me, &options),
@@ -55,16 +55,17 @@
         }
     }
 
-    /// Sets the announced instances, this one among them or not.
+    /// Sets the announced instances. This instance may be missing from them.
     pub fn set_announced(&mut self, announced: BTreeSet<InstanceName>) {
         self.knowledge.announced = announced;
-        // What this instance writes is kept as long as it runs. If its own sections were forgotten
-        // with those of instances long gone, its numbers would begin anew and all others would take
-        // its next sections for old ones.
+        // The own sections are retained as long as the instance runs. If they were removed like those
+        // of instances that are no longer announced, their numbers would start again and all other
+        // instances would ignore the next sections as old.
         self.knowledge.announced.insert(self.me.clone());
     }
 
-    /// Takes a configuration of the instance's own, if it is newer.
+    /// Stores a configuration from this instance if it is newer than the newest known, and returns
+    /// whether it was.
     pub fn offer_configuration(&mut self, configuration: Arc<Configuration>) -> bool {
         let newer = self.cache.offer(configuration);
         if newer {
@@ -92,12 +93,12 @@
         self.next_demand = Some(section);
     }
 
-    /// Takes up a link.
+    /// Adds a link.
     pub fn connect(&mut self, link: LinkId) {
         self.partners.insert(link, Partner::new());
     }
 
-    /// Gives up a link.
+    /// Removes a link.
     pub fn disconnect(&mut self, link: LinkId) {
         self.partners.remove(&link);
         if self.pull.is_some_and(|(pulled, _)| pulled == link) {
@@ -105,7 +106,8 @@
         }
     }
 
-    /// Answers a partner who holds revision `have`; nothing if it holds as much.
+    /// Returns the transfer for a partner that has revision `have`, or `None` if the partner is up to
+    /// date.
     ///
     /// # Errors
     ///
@@ -114,11 +116,11 @@
         self.cache.answer(have)
     }
 
-    /// Takes a message from a partner.
+    /// Processes a message from a partner.
     ///
     /// # Errors
     ///
-    /// `Error::Codec` if a transfer makes no sense: the link should be closed.
+    /// `Error::Codec` if a transfer is invalid; the caller should then close the link.
     pub fn receive(
         &mut self,
         link: LinkId,
@@ -143,7 +145,8 @@
         Ok(())
     }
 
-    /// Sends what is due.
+    /// Expires old sections, writes the own sections that are due and sends the updates and pulls
+    /// that are due.
     pub fn tick(&mut self, now: Millis, transport: &mut impl Transport) {
         self.knowledge.expire(now, &mut self.changes);
         self.write_load_if_due(now);
@@ -155,27 +158,27 @@
         }
     }
 
-    /// Returns what has changed since the last call.
+    /// Returns which sections have changed since the last call.
     pub fn take_changes(&mut self) -> ChangedSections {
         std::mem::take(&mut self.changes)
     }
 
-    /// Returns the newest configuration known.
+    /// Returns the newest known configuration.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.cache.newest()
     }
 
-    /// Returns the others' acknowledgements.
+    /// Returns the acknowledgements of the other instances.
     pub fn acks(&self) -> BTreeMap<InstanceName, ReceivedSection<AckSection>> {
         self.knowledge.acks.from_others(&self.me)
     }
 
-    /// Returns the others' load sections.
+    /// Returns the load sections of the other instances.
     pub fn load(&self) -> BTreeMap<InstanceName, ReceivedSection<LoadSection>> {
         self.knowledge.load.from_others(&self.me)
     }
 
-    /// Returns the others' demand sections.
+    /// Returns the demand sections of the other instances.
     pub fn demand(&self) -> BTreeMap<InstanceName, ReceivedSection<DemandSection>> {
         self.knowledge.demand.from_others(&self.me)
     }
@@ -228,7 +231,8 @@
         }
     }
 
-    /// Pulls the newest configuration that a partner is known to hold, one pull at a time.
+    /// Pulls the newest configuration that any partner is known to have. Only one pull is in flight at
+    /// a time.
     fn pull_newest(&mut self, now: Millis, transport: &mut impl Transport) {
         let is_late = |(_, sent_at): (LinkId, Millis)| now - sent_at > self.options.answer_timeout;
         if self.pull.is_some_and(|pull| !is_late(pull)) {
@@ -237,7 +241,7 @@
         let failed = self.pull.take().map(|(link, _)| link);
         let have = self.cache.revision();
         let ahead = self.partners.iter().filter(|(_, partner)| partner.revision > have);
-        // A partner that has just failed to answer is asked again only if no other is ahead.
+        // A partner that has just failed to respond is asked again only if no other partner is ahead.
         let best = ahead.max_by_key(|(link, partner)| (Some(**link) != failed, partner.revision));
         if let Some((&link, _)) = best {
             self.send_pull(link, have, now, transport);
@@ -309,8 +313,8 @@
         let sections = traffic(count, options.partners.degree(), MAX_HOPS);
         let gap = spacing(sections, section.wire_bytes(), options.demand_bytes_per_s);
         if gap > options.demand_max_age {
-            // Each section would be too old to count before the next one came, so the traffic would
-            // be for nothing: shares by demand need all of it fresh.
+            // Each section would expire before the next one arrives. Shares by demand need fresh
+            // sections from all instances, so the traffic would be useless.
             self.next_demand = None;
             return;
         }
--- a/crates/anvilhook-peer/src/gossip/options.rs
+++ b/crates/anvilhook-peer/src/gossip/options.rs
@@ -1,47 +1,47 @@
-//! The bounds on what a node says and keeps.
+//! The limits on what a node sends and retains.
 
 use anvilhook_core::units::Millis;
 
 use super::partners::PartnerOptions;
 
-/// `GossipOptions` bounds what a node says and keeps.
+/// `GossipOptions` limits what a node sends and retains.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipOptions {
-    /// The least time between two updates on a link that carry only load and demand.
+    /// The minimum time between two updates on a link that carry only load and demand.
     pub round: Millis,
-    /// The least time between two updates on a link that carry more urgent news.
+    /// The minimum time between two updates on a link that carry acknowledgements or a new revision.
     pub urgent_gap: Millis,
-    /// The longest time between two updates on a link.
+    /// The maximum time between two updates on a link.
     pub heartbeat: Millis,
-    /// How long an update or a pull may go unanswered before it counts as lost.
+    /// The time after which an update or a pull without a response counts as lost.
     pub answer_timeout: Millis,
-    /// The least time between two own load sections.
+    /// The minimum time between two own load sections.
     pub load_interval: Millis,
-    /// The greatest time between two own load sections for which they cross more than one link.
+    /// The maximum time between two own load sections that are relayed over more than one link.
     pub max_relayed_load_interval: Millis,
-    /// The age from which a load section no longer counts.
+    /// The age beyond which a load section is ignored.
     pub load_max_age: Millis,
-    /// The traffic that load sections may cause at one instance, in bytes a second.
+    /// The traffic that load sections may cause at one instance, in bytes per second.
     pub load_bytes_per_s: u32,
-    /// The least time between two own demand sections.
+    /// The minimum time between two own demand sections.
     pub demand_interval: Millis,
-    /// The age from which a demand section no longer counts.
+    /// The age beyond which a demand section is ignored.
     pub demand_max_age: Millis,
-    /// The traffic that demand sections may cause at one instance, in bytes a second.
+    /// The traffic that demand sections may cause at one instance, in bytes per second.
     pub demand_bytes_per_s: u32,
-    /// The most acknowledgements in one section.
+    /// The maximum number of acknowledgements in one section.
     pub max_acks: usize,
-    /// The most engines in one load section.
+    /// The maximum number of engines in one load section.
     pub max_engines: usize,
-    /// The most accounts in one demand section.
+    /// The maximum number of accounts in one demand section.
     pub max_accounts: usize,
-    /// The size from which an update takes no further section, in bytes.
+    /// The size from which no further section is added to an update, in bytes.
     pub max_update_bytes: usize,
-    /// The most instances whose sections are kept.
+    /// The maximum number of instances whose sections are retained.
     pub max_origins: usize,
-    /// How long anything is kept of an instance that is not announced.
+    /// How long the sections of an instance that is not announced are retained.
     pub retention: Millis,
-    /// How partners are chosen.
+    /// The options for choosing partners.
     pub partners: PartnerOptions,
 }
 
--- a/crates/anvilhook-peer/src/gossip/partner_states.rs
+++ b/crates/anvilhook-peer/src/gossip/partner_states.rs
@@ -1,4 +1,5 @@
-//! What a node keeps of each partner: what it is known to have, and what is under way to it.
+//! The state that a node holds for each partner: the sections that the partner is known to have and
+//! the update in flight to it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -24,7 +25,7 @@
         record(&mut self.demand, &update.demand);
     }
 
-    /// Forgets origins of whom no section is known any more, so that this does not grow for ever.
+    /// Removes origins without a known section, so that the maps do not grow without limit.
     fn retain(&mut self, knowledge: &Knowledge) {
         self.acks.retain(|origin, _| knowledge.acks.version(origin) > 0);
         self.load.retain(|origin, _| knowledge.load.version(origin) > 0);
@@ -39,21 +40,22 @@
     }
 }
 
-/// `Partner` is what a node keeps of one link.
+/// `Partner` is the state that a node holds for one link.
 #[derive(Debug, Default)]
 pub(super) struct Partner {
     pub(super) known: Known,
-    /// The highest revision that the partner is known to hold.
+    /// The highest revision that the partner has reported.
     pub(super) revision: Revision,
-    /// Whether acknowledgements or a revision wait to be told.
+    /// Whether new acknowledgements or a new revision are ready to send.
     pub(super) urgent: bool,
+    // The highest revision in an update that the partner has confirmed.
     confirmed_revision: Revision,
     sent_at: Option<Millis>,
     in_flight: Option<(u64, Arc<Update>)>,
 }
 
 impl Partner {
-    /// Makes the state of a new link, which has everything to be told.
+    /// Creates the state of a new link, to which everything is still to be sent.
     pub(super) fn new() -> Self {
         Self { urgent: true, ..Self::default() }
     }
@@ -63,30 +65,30 @@
         self.sent_at.map_or(Millis::MAX, |sent_at| now - sent_at)
     }
 
-    /// Returns whether an update is under way.
+    /// Returns whether an update is in flight.
     pub(super) fn is_awaiting_confirmation(&self) -> bool {
         self.in_flight.is_some()
     }
 
-    /// Returns whether the partner is not known to have heard of a revision.
+    /// Returns whether the partner is not known to have been informed of a revision.
     pub(super) fn needs(&self, revision: Revision) -> bool {
         revision > self.revision.max(self.confirmed_revision)
     }
 
-    /// Takes what the partner has said.
+    /// Records the sections and the revision that an update from the partner contains.
     pub(super) fn record_update(&mut self, update: &Update) {
         self.known.record(update);
         self.revision = self.revision.max(update.revision);
     }
 
-    /// Takes note of an update sent.
+    /// Records an update sent to the partner.
     pub(super) fn record_sent(&mut self, seq: u64, update: Arc<Update>, now: Millis) {
         self.urgent = false;
         self.sent_at = Some(now);
         self.in_flight = Some((seq, update));
     }
 
-    /// Takes a confirmation. One that is not of the update under way says nothing.
+    /// Records a confirmation. It is ignored unless it belongs to the update in flight.
     pub(super) fn confirm(&mut self, seq: u64, knowledge: &Knowledge) {
         if let Some((_, update)) = self.in_flight.take_if(|(sent, _)| *sent == seq) {
             self.known.record(&update);
--- a/crates/anvilhook-peer/src/gossip/partners.rs
+++ b/crates/anvilhook-peer/src/gossip/partners.rs
@@ -1,9 +1,10 @@
-//! Which instances an instance connects to.
+//! Chooses the partners to which an instance connects.
 //!
-//! All instances are put on a few rings, each in the order of another hash of their names, and each
-//! connects to its successor on every ring. So all have the same number of partners, a join or leave
-//! moves only its neighbours' connections, the graph is connected by each ring alone, and together
-//! the rings form a random regular graph, whose diameter grows with the logarithm of its size.
+//! All instances are placed on a few rings, each ordered by a different hash of their names, and each
+//! instance connects to its successor on every ring. Therefore all instances have the same number of
+//! partners, and a join or leave changes only the connections of its neighbours. Each ring alone
+//! connects the graph, and together the rings form a random regular graph, whose diameter grows with
+//! the logarithm of its size.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +13,11 @@
 
 use crate::options::PeerAddress;
 
-/// `PartnerOptions` says how many partners an instance has.
+/// `PartnerOptions` determines how many partners an instance has.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PartnerOptions {
-    /// The number of rings: as many partners are connected to, and about as many connect.
+    /// The number of rings. An instance connects to this many partners, and about as many connect to
+    /// it.
     pub rings: u8,
 }
 
@@ -26,14 +28,14 @@
 }
 
 impl PartnerOptions {
-    /// Returns the number of partners in both directions.
+    /// Returns the number of partners in both directions together.
     pub fn degree(&self) -> usize {
         usize::from(self.rings) * 2
     }
 }
 
-/// Chooses the instances that `me` in `zone` connects to among the announced ones. An instance out of reach
-/// is passed over, and the next on the ring takes its place.
+/// Chooses the announced instances to which `me` in `zone` connects. An unreachable instance is
+/// skipped in favour of the next one on the ring.
 pub fn choose_partners(
     me: &InstanceName,
     zone: &ZoneName,
@@ -51,15 +53,16 @@
         chosen.extend(successor(me, candidates, ring));
     }
     if let Some(partner) = partner_in_other_zone(me, zone, &others, &chosen, options) {
-        // Partners of the own zone only would leave the zone alone with its news when the last
-        // accepted link from another zone breaks.
+        // If all partners were in the own zone, the zone would be isolated when its last accepted
+        // link from another zone breaks.
         chosen.pop();
         chosen.push(partner);
     }
     chosen.into_iter().cloned().collect()
 }
 
-/// Returns a partner in another zone if there is one and none has been chosen.
+/// Returns a partner in another zone if there is one and none of the chosen partners is in another
+/// zone.
 fn partner_in_other_zone<'a>(
     me: &InstanceName,
     zone: &ZoneName,
@@ -84,7 +87,7 @@
     candidates.min_by_key(|other| ring_position(&other.name, ring).wrapping_sub(own))
 }
 
-/// Returns an instance's place on a ring.
+/// Returns an instance's position on a ring.
 fn ring_position(name: &InstanceName, ring: u8) -> u64 {
     let digest = Sha256::new().chain_update([ring]).chain_update(name.as_str()).finalize();
     let mut buf = [0; 8];
--- a/crates/anvilhook-peer/src/gossip/sections.rs
+++ b/crates/anvilhook-peer/src/gossip/sections.rs
@@ -1,63 +1,63 @@
-//! What an instance writes about itself for all others.
+//! The sections that an instance writes about itself for all other instances.
 
 use anvilhook_core::names::{AccountName, InstanceName, PoolName, UpstreamName};
 use anvilhook_core::orders::Term;
 use anvilhook_core::reports::LoadReport;
 use anvilhook_core::units::Tokens;
 
-/// The bytes of a section's header and list on the wire, about.
+/// The approximate size of a section's header and list on the wire, in bytes.
 const SECTION_BYTES: usize = 96;
 
-/// The bytes of an acknowledgement, an engine's digest, its report and an account's digest on the
-/// wire, about.
+/// The approximate sizes of an acknowledgement, an engine's digest, its report and an account's
+/// digest on the wire, in bytes.
 const ACK_BYTES: usize = 64;
 const ENGINE_BYTES: usize = 56;
 const REPORT_BYTES: usize = 88;
 const ACCOUNT_BYTES: usize = 32;
 
-/// `Section` is one kind of news that an instance writes about itself.
+/// `Section` is one kind of data that an instance publishes about itself.
 pub trait Section: Clone + PartialEq {
-    /// Leaves out all but the first `max` entries.
+    /// Removes all but the first `max` entries.
     fn truncate(&mut self, max: usize);
 
-    /// Returns about how many bytes the section takes on the wire.
+    /// Returns the approximate size of the section on the wire, in bytes.
     fn wire_bytes(&self) -> usize;
 }
 
-/// `DrainAck` says: of the drain of this generation I know, I send the engine no new work, and no
-/// request of mine is in flight there.
+/// `DrainAck` confirms that the writer knows of the drain with this generation, sends the engine no
+/// new work, and has no request in flight there.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct DrainAck {
     /// The engine's pool.
     pub pool: PoolName,
     /// The engine.
     pub engine: UpstreamName,
-    /// The drain's generation. The acknowledgement holds for this one only.
+    /// The drain's generation. The acknowledgement is valid for this generation only.
     pub generation: u64,
 }
 
-/// `TermAck` says: I give no order for the pool below this term any more.
+/// `TermAck` confirms that the writer gives no more orders for the pool under a lower term.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct TermAck {
-    /// The pool under the lease.
+    /// The pool that the lease covers.
     pub pool: PoolName,
     /// The term.
     pub term: Term,
-    /// Its holder, as far as the writer knows.
+    /// The holder of the term, as known to the writer.
     pub holder: InstanceName,
 }
 
-/// `AckSection` holds all acknowledgements of one instance that stand.
+/// `AckSection` holds all current acknowledgements of one instance.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct AckSection {
-    /// Of drains.
+    /// The acknowledgements of drains.
     pub drains: Vec<DrainAck>,
-    /// Of terms.
+    /// The acknowledgements of terms.
     pub terms: Vec<TermAck>,
 }
 
 impl AckSection {
-    /// Returns whether the drain of exactly this generation is acknowledged.
+    /// Returns whether the engine's drain with exactly this generation is acknowledged.
     pub fn has_drained(&self, engine: &UpstreamName, generation: u64) -> bool {
         self.drains.iter().any(|ack| ack.engine == *engine && ack.generation == generation)
     }
@@ -74,31 +74,32 @@
     }
 
     fn truncate(&mut self, max: usize) {
-        // Terms come first: a successor waits for them with a whole pool.
+        // Terms come first, because a successor cannot control the pool until they are acknowledged.
         self.terms.truncate(max);
         self.drains.truncate(max - self.terms.len());
     }
 }
 
-/// `EngineDigest` is what one instance has sent to an engine since a report of the engine's load.
+/// `EngineDigest` sums up the work that one instance has sent to an engine since a load report of
+/// that engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct EngineDigest {
     /// The engine.
     pub engine: UpstreamName,
-    /// The engine's start that the report belongs to.
+    /// The boot of the engine that the report belongs to.
     pub boot: u64,
-    /// The report's number.
+    /// The report's sequence number.
     pub seq: u64,
-    /// Requests sent since.
+    /// The requests sent since the report.
     pub requests: u32,
-    /// Their uncached prompt tokens.
+    /// The uncached prompt tokens of these requests.
     pub prefill: Tokens,
-    /// Their expected output tokens.
+    /// The expected output tokens of these requests.
     pub decode: Tokens,
 }
 
-/// `ReportDigest` is an engine's load report as the writer of the section read it. The report's age
-/// is that when the section was published. Its model is not told.
+/// `ReportDigest` is an engine's load report as read by the writer of the section. The report's age
+/// is its age when the section was published. The report's model is not sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReportDigest {
     /// The engine.
@@ -107,13 +108,13 @@
     pub report: LoadReport,
 }
 
-/// `LoadSection` holds what one instance has sent to the engines it uses, and the load reports that
-/// it read for all.
+/// `LoadSection` holds the work that one instance has sent to the engines it uses, and the load
+/// reports that it has read on behalf of all instances.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LoadSection {
-    /// One entry for each engine, the busiest first.
+    /// One entry for each engine in use, the busiest first.
     pub engines: Vec<EngineDigest>,
-    /// One entry for each engine that the instance reads.
+    /// One entry for each engine whose reports the instance reads.
     pub reports: Vec<ReportDigest>,
 }
 
@@ -129,21 +130,22 @@
     }
 }
 
-/// `AccountDigest` is what an account has lately asked of one instance.
+/// `AccountDigest` is the recent demand of a client account at one instance.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AccountDigest {
     /// The account.
     pub account: AccountName,
-    /// Requests that asked to be admitted, in a second. Thousandths are kept on the wire.
+    /// The rate of requests that asked for admission, per second. The wire format has a resolution
+    /// of one thousandth.
     pub requests_per_s: f64,
-    /// Requests now open.
+    /// The number of requests currently open.
     pub open_requests: u32,
 }
 
-/// `DemandSection` holds the account demand that one instance meets.
+/// `DemandSection` holds the account demand at one instance.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DemandSection {
-    /// Whether the writer hears the demand of all listed instances.
+    /// Whether the writer receives the demand of all listed instances.
     pub hears_all: bool,
     /// One entry for each account in use, the busiest first.
     pub accounts: Vec<AccountDigest>,
--- a/crates/anvilhook-peer/src/handles.rs
+++ b/crates/anvilhook-peer/src/handles.rs
@@ -1,4 +1,5 @@
-//! What the rest of an instance holds of its link.
+//! The handle through which the rest of an instance uses the peer link, and the state that it shares
+//! with the link's thread.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,35 +13,36 @@
 use crate::gossip::{AckSection, DemandSection, LoadSection, ReceivedSection};
 use crate::options::PeerAddress;
 
-/// `PeerView` is what has been heard of the other instances. It is replaced as a whole.
+/// `PeerView` holds the sections received from the other instances. Each change replaces the whole
+/// view.
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
-    /// Their acknowledgements.
+    /// The acknowledgements by instance.
     pub acks: Arc<BTreeMap<InstanceName, ReceivedSection<AckSection>>>,
-    /// Their load sections.
+    /// The load sections by instance.
     pub load: Arc<BTreeMap<InstanceName, ReceivedSection<LoadSection>>>,
-    /// Their demand sections.
+    /// The demand sections by instance.
     pub demand: Arc<BTreeMap<InstanceName, ReceivedSection<DemandSection>>>,
-    /// The instances that a link stands to.
+    /// The instances to which a link is established.
     pub linked: Arc<Vec<InstanceName>>,
 }
 
-/// `PeerCounts` is what the link has done since its start.
+/// `PeerCounts` holds the traffic and connection counts of the link since its start.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PeerCounts {
     /// Bytes received.
     pub bytes_in: u64,
     /// Bytes sent.
     pub bytes_out: u64,
-    /// Links that came to stand.
+    /// Links that were established.
     pub links_opened: u64,
     /// Links that broke or were closed.
     pub links_closed: u64,
-    /// Connections whose other side did not prove that it holds the key.
+    /// Connections refused because the remote side did not prove that it holds the key.
     pub refused: u64,
 }
 
-/// `Counters` counts what the link does, for `PeerCounts`.
+/// `Counters` holds the live counters behind `PeerCounts`.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     pub(crate) bytes_in: AtomicU64,
@@ -50,7 +52,7 @@
     pub(crate) refused: AtomicU64,
 }
 
-/// `Published` is what the handle hands to the link's thread: always the latest of each kind.
+/// `Published` passes the latest value of each kind from the handle to the link's thread.
 #[derive(Debug)]
 pub(crate) struct Published {
     pub(crate) configuration: watch::Sender<Option<Arc<Configuration>>>,
@@ -61,7 +63,7 @@
     pub(crate) stopped: watch::Sender<bool>,
 }
 
-/// `Received` is what the link's thread hands to the handle.
+/// `Received` passes received state and counters from the link's thread to the handle.
 #[derive(Debug)]
 pub(crate) struct Received {
     pub(crate) configuration: watch::Sender<Option<Arc<Configuration>>>,
@@ -70,8 +72,8 @@
     pub(crate) counters: Counters,
 }
 
-/// `PeerHandle` is how the rest of an instance speaks with its link. No call waits. The link ends
-/// when its last handle is dropped or it is stopped.
+/// `PeerHandle` gives the rest of an instance access to its link. No call blocks. The link stops when
+/// its last handle is dropped or `stop` is called.
 #[derive(Clone, Debug)]
 pub struct PeerHandle {
     pub(crate) published: Arc<Published>,
@@ -79,7 +81,7 @@
 }
 
 impl PeerHandle {
-    /// Hands on an accepted configuration; an older one than the newest known changes nothing.
+    /// Publishes an accepted configuration. One that is older than the newest known has no effect.
     pub fn publish_configuration(&self, configuration: Arc<Configuration>) {
         self.published.configuration.send_replace(Some(configuration));
     }
@@ -103,7 +105,7 @@
         self.published.demand.send_replace(demand);
     }
 
-    /// Sets the announced instances, among which the link chooses its partners.
+    /// Sets the announced instances, from which the link chooses its partners.
     pub fn set_announced(&self, announced: Vec<PeerAddress>) {
         self.published.announced.send_if_modified(|current| {
             let differs = *current != announced;
@@ -112,33 +114,33 @@
         });
     }
 
-    /// Returns the announced instances as they were set last.
+    /// Returns the announced instances that were set last.
     pub fn announced(&self) -> Vec<PeerAddress> {
         self.published.announced.borrow().clone()
     }
 
-    /// Returns the newest configuration received, and the changes of it. Its revision only grows.
+    /// Subscribes to the newest configuration received. Its revision never decreases.
     ///
-    /// What has been received before counts as a change. Otherwise a configuration that comes in
-    /// between the link's start and this call would be passed over, and an instance that starts
-    /// while the table is down would wait for the next change, perhaps for hours.
+    /// A configuration that was received before this call counts as a change. Otherwise one that
+    /// arrives between the link's start and this call would be missed, and an instance that starts
+    /// while the table is unreachable would wait for the next change, possibly for hours.
     pub fn configurations(&self) -> watch::Receiver<Option<Arc<Configuration>>> {
         let mut newest = self.received.configuration.subscribe();
         newest.mark_changed();
         newest
     }
 
-    /// Returns what has been heard of the other instances.
+    /// Returns the sections received from the other instances and the established links.
     pub fn view(&self) -> arc_swap::Guard<Arc<PeerView>> {
         self.received.view.load()
     }
 
-    /// Returns a number that changes whenever `view` does, to wait for.
+    /// Subscribes to a number that increases whenever `view` changes.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.received.changes.subscribe()
     }
 
-    /// Returns what the link has done since its start.
+    /// Returns the link's counts since its start.
     pub fn counts(&self) -> PeerCounts {
         let counters = &self.received.counters;
         PeerCounts {
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Closes all links and ends the link's thread.
+    /// Closes all links and stops the link's thread.
     pub fn stop(&self) {
         self.published.stopped.send_replace(true);
     }
--- a/crates/anvilhook-peer/src/keys.rs
+++ b/crates/anvilhook-peer/src/keys.rs
@@ -1,4 +1,4 @@
-//! The key that all instances share, and the proofs of holding it.
+//! The key that all instances share, and the proofs that an instance holds it.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,14 +9,14 @@
 
 use crate::errors::{Error, Result};
 
-/// The fewest bytes of a key. What is shorter could be guessed from a recorded handshake.
+/// The minimum length of a key in bytes. A shorter key could be guessed from a recorded handshake.
 pub const MIN_KEY_BYTES: usize = 32;
 
-/// The bytes of a nonce.
+/// The length of a nonce in bytes.
 pub const NONCE_BYTES: usize = 32;
 
-/// `Side` tells the two ends of a connection apart, so that a proof sent by one end is worth nothing
-/// when it is sent back by the other.
+/// `Side` identifies an end of a connection. Proofs cover it, so that a proof sent by one end is
+/// invalid when the other end sends it back.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Side {
     /// The end that connected.
@@ -34,7 +34,7 @@
     }
 }
 
-/// `Handshake` is what both proofs of a connection cover.
+/// `Handshake` holds the values that both proofs of a connection cover.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Handshake {
     /// The caller's nonce.
@@ -52,7 +52,7 @@
 pub struct PeerKey(Arc<[u8]>);
 
 impl PeerKey {
-    /// Takes a key from the settings.
+    /// Creates a key from the bytes in the settings.
     ///
     /// # Errors
     ///
@@ -64,16 +64,16 @@
         Ok(Self(Arc::from(bytes)))
     }
 
-    /// Returns the proof that one side of a handshake holds the key.
+    /// Computes the proof by one side of a handshake that it holds the key.
     pub fn prove(&self, side: Side, handshake: &Handshake) -> Vec<u8> {
         self.mac(side, handshake).finalize().into_bytes().to_vec()
     }
 
-    /// Checks the other side's proof in constant time.
+    /// Verifies a proof by `side` in constant time.
     ///
     /// # Errors
     ///
-    /// `Error::NotAuthentic` if it is not that side's proof of this handshake.
+    /// `Error::NotAuthentic` if it is not that side's proof for this handshake.
     pub fn check(&self, side: Side, handshake: &Handshake, proof: &[u8]) -> Result<()> {
         self.mac(side, handshake).verify_slice(proof).map_err(|_| Error::NotAuthentic)
     }
@@ -89,7 +89,7 @@
             handshake.callee.as_str().as_bytes(),
         ];
         for part in parts {
-            // The lengths keep two different handshakes from running into the same bytes.
+            // The length prefixes ensure that different handshakes never yield the same bytes.
             mac.update(&(part.len() as u64).to_be_bytes());
             mac.update(part);
         }
--- a/crates/anvilhook-peer/src/lib.rs
+++ b/crates/anvilhook-peer/src/lib.rs
@@ -1,8 +1,9 @@
-//! The link between instances: hints and acknowledgements. It decides nothing.
+//! The gossip link between instances. It carries hints and acknowledgements and makes no decisions.
 //!
-//! `gossip` is the pure part: what is told to whom, how news is merged, which instances are
-//! partners. `links` carries it over capnp-rpc on a thread of its own. `PeerLink` starts it and
-//! `PeerHandle` is what the rest of an instance holds.
+//! `gossip` is the pure part: it determines which updates are sent to which partner, how received
+//! updates are merged and which instances are partners. `links` sends the messages over capnp-rpc on
+//! a separate thread. `PeerLink` starts the link, and `PeerHandle` gives the rest of an instance
+//! access to it.
 #![forbid(unsafe_code)]
 
 pub mod errors;
@@ -14,7 +15,7 @@
 
 mod authentication;
 mod codecs;
-// The module is generated: the lints and the format of hand-written code don't apply to it.
+// The module is generated, so the lints and formatting rules for hand-written code don't apply.
 #[rustfmt::skip]
 #[allow(clippy::all, clippy::unimplemented, missing_docs, rust_2018_idioms)]
 #[path = "generated/peer_capnp.rs"]
--- a/crates/anvilhook-peer/src/links/connections.rs
+++ b/crates/anvilhook-peer/src/links/connections.rs
@@ -1,4 +1,4 @@
-//! One connection, from its first byte to its end.
+//! Establishes and serves a single connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -24,14 +24,14 @@
 use crate::gossip::{LinkId, Message};
 use crate::peer_capnp::{gate, peer};
 
-/// The bytes of a word in a message.
+/// The size of a message word in bytes.
 const WORD_BYTES: usize = 8;
 
-/// Connects to an instance and opens a link to it. The link's own task goes on by itself.
+/// Connects to an instance and opens a link to it. The returned task serves the link.
 ///
 /// # Errors
 ///
-/// Why no link came to stand.
+/// The reason why no link was established.
 pub(crate) async fn dial<C: Clock>(
     hub: Rc<Hub<C>>,
     address: SocketAddr,
@@ -52,11 +52,11 @@
     Ok(tokio::task::spawn_local(run(hub, driver, admitted)))
 }
 
-/// Serves an accepted connection until its end.
+/// Authenticates an accepted connection and opens its link.
 ///
 /// # Errors
 ///
-/// Why it ended.
+/// The reason why no link was established.
 pub(crate) async fn accept<C: Clock>(
     hub: Rc<Hub<C>>,
     stream: TcpStream,
@@ -71,7 +71,7 @@
     Ok((driver, admitted.map_err(|_| Error::NotAuthentic)?))
 }
 
-/// Carries a link's messages until it ends, and returns why it ended.
+/// Sends a link's messages until the link closes, and returns the reason.
 pub(crate) async fn run<C: Clock>(
     hub: Rc<Hub<C>>,
     driver: Driver,
@@ -87,8 +87,8 @@
                 let Some(message) = message else {
                     break Error::LinkRejected;
                 };
-                // A heartbeat is due every second, so a link that has gone silent is noticed by
-                // the one that is not answered.
+                // A heartbeat is due every second, so a link that stops responding is detected by
+                // the heartbeat that gets no response.
                 if let Err(err) = send(&hub, &partner, link, message, limit).await {
                     break err;
                 }
@@ -99,7 +99,7 @@
     ended
 }
 
-/// Carries one message to the partner, and its answer back to the node.
+/// Sends one message to the partner and passes the response to the node.
 async fn send<C: Clock>(
     hub: &Hub<C>,
     partner: &peer::Client,
@@ -122,18 +122,18 @@
             let transfer = codecs::read_transfer(answer.get()?.get_transfer()?)?;
             hub.receive(link, Message::Transfer(transfer))
         }
-        // The answers of calls stand for these.
+        // The responses to calls replace these messages.
         Message::Confirm { .. } | Message::Transfer(_) => Ok(()),
     }
 }
 
-/// `Driver` keeps a connection going. Dropping it closes the connection.
+/// `Driver` runs a connection's RPC system. Dropping it closes the connection.
 pub(crate) struct Driver(JoinHandle<()>);
 
 impl Driver {
     fn spawn(rpc_system: RpcSystem<Side>) -> Self {
         Self(tokio::task::spawn_local(async move {
-            // The calls under way report the connection's end themselves.
+            // The calls in flight report the failure of the connection.
             let _ = rpc_system.await;
         }))
     }
@@ -156,7 +156,7 @@
     let reader = Metered::new(reader.compat(), Rc::clone(meter));
     let writer = Metered::new(writer.compat_write(), Rc::clone(meter));
     let mut options = ReaderOptions::new();
-    // The library refuses a longer message before it makes room for it.
+    // The library refuses a longer message before it allocates memory for it.
     options.traversal_limit_in_words(Some(hub.options.max_message_bytes / WORD_BYTES));
     Ok(VatNetwork::new(BufReader::new(reader), BufWriter::new(writer), side, options))
 }
--- a/crates/anvilhook-peer/src/links/dialers.rs
+++ b/crates/anvilhook-peer/src/links/dialers.rs
@@ -1,4 +1,4 @@
-//! Keeps connections to the chosen partners.
+//! Maintains connections to the chosen partners.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -14,27 +14,27 @@
 use crate::gossip::choose_partners;
 use crate::options::PeerAddress;
 
-/// `Failure` is what is kept of an instance out of reach.
+/// `Failure` records the failed attempts to reach an instance and the time of the next retry.
 #[derive(Debug)]
 struct Failure {
     count: u32,
     retry_at: Millis,
 }
 
-/// `Dialer` connects to the chosen partners, and to others while those are out of reach.
+/// `Dialer` connects to the chosen partners, and to other instances while those are unreachable.
 pub(crate) struct Dialer<C, R> {
     hub: Rc<Hub<C>>,
     clock: C,
     rng: R,
     announced: Vec<PeerAddress>,
-    // The last choice, and the instances that were out of reach then.
+    // The instances that were unreachable at the last choice, and the partners chosen.
     chosen: Option<(BTreeSet<InstanceName>, Vec<PeerAddress>)>,
     failures: BTreeMap<InstanceName, Failure>,
     dialing: JoinSet<Attempt>,
     in_progress: BTreeSet<InstanceName>,
 }
 
-/// `Attempt` is how a link came to its end, or that it never stood.
+/// `Attempt` is the outcome of a dialed connection: why its link closed or was never established.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     name: InstanceName,
@@ -43,7 +43,7 @@
 }
 
 impl<C: Clock, R: Rng> Dialer<C, R> {
-    /// Makes a dialer without partners.
+    /// Creates a dialer without partners.
     pub(crate) fn new(hub: Rc<Hub<C>>, clock: C, rng: R) -> Self {
         Self {
             hub,
@@ -65,7 +65,7 @@
         self.dial_missing();
     }
 
-    /// Waits for the end of an attempt; forever if there is none.
+    /// Waits until an attempt ends, or forever if there is none.
     pub(crate) async fn next_ended(&mut self) -> Result<Attempt, JoinError> {
         match self.dialing.join_next().await {
             Some(ended) => ended,
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Takes the end of an attempt.
+    /// Records the outcome of an attempt and schedules the next retry.
     pub(crate) fn record_ended(&mut self, ended: Result<Attempt, JoinError>) {
         let Ok(attempt) = ended else {
             return;
         };
         self.in_progress.remove(&attempt.name);
-        log::debug!(peer = attempt.name.as_str(); "peer link ended: {}", attempt.cause);
+        log::debug!(peer = attempt.name.as_str(); "peer link closed: {}", attempt.cause);
         if self.hub.linked().contains_key(&attempt.name) {
             return;
         }
@@ -88,17 +88,19 @@
             .failures
             .entry(attempt.name)
             .or_insert(Failure { count: 0, retry_at: Millis::ZERO });
-        // A link that stood for a while says that the instance can be reached.
+        // A link that lasted for a while shows that the instance is reachable.
         failure.count =
             if attempt.lasted_for > options.max_backoff { 1 } else { failure.count + 1 };
         let doubled = options.backoff.0 << (failure.count - 1).min(16);
         let longest = doubled.min(options.max_backoff.0).max(1);
-        // Instances that lost one partner at the same moment must not all come back at once.
+        // The wait is random, so that instances that lost the same partner at the same moment do not
+        // all reconnect at once.
         let wait = self.rng.random_range(longest / 2..=longest);
         failure.retry_at = self.clock.now() + Millis(wait);
     }
 
-    /// Connects to the chosen partners that no link stands to, and closes what is no longer needed.
+    /// Connects to the chosen partners without a link. If none is missing, closes the links that are
+    /// no longer needed.
     pub(crate) fn dial_missing(&mut self) {
         let now = self.clock.now();
         let unreachable: BTreeSet<InstanceName> = self
@@ -134,8 +136,9 @@
         chosen
     }
 
-    /// Closes the links that this instance made to others than the wanted. They are kept until all
-    /// wanted ones stand, so that a partner's replacement serves until the partner is back.
+    /// Closes the links that this instance dialed to instances other than the wanted ones. They stay
+    /// open until all wanted links are established, so that a partner's replacement serves until the
+    /// partner is reachable again.
     fn close_unwanted(&self, wanted: &[PeerAddress]) {
         for (name, (link, direction)) in self.hub.linked() {
             let is_wanted = wanted.iter().any(|peer| peer.name == name);
@@ -146,7 +149,7 @@
     }
 }
 
-/// Makes one link and stays with it to its end.
+/// Dials one link and waits until it closes.
 async fn attempt<C: Clock>(hub: Rc<Hub<C>>, peer: PeerAddress, clock: C) -> Attempt {
     let PeerAddress { name, address, .. } = peer;
     let started_at = clock.now();
--- a/crates/anvilhook-peer/src/links/hubs.rs
+++ b/crates/anvilhook-peer/src/links/hubs.rs
@@ -1,4 +1,4 @@
-//! What all connections of one instance share, on the link's thread.
+//! The state that all connections of one instance share on the link's thread.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,27 +15,27 @@
 use crate::handles::{PeerView, Received};
 use crate::options::{PeerAddress, PeerOptions};
 
-/// The messages that may wait on a link. A node sends one update and one pull at a time; what does
-/// not fit is lost, and the node sends it again.
+/// The maximum number of messages queued on a link. A node sends one update and one pull at a time.
+/// A message that does not fit is lost, and the node resends it.
 const LINK_QUEUE: usize = 8;
 
-/// `Direction` says which end connected.
+/// `Direction` indicates which end opened the connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Direction {
-    /// This instance did.
+    /// This instance connected.
     Dialed,
-    /// The other did.
+    /// The other instance connected.
     Accepted,
 }
 
-/// `LinkGuard` is what a connection's task holds of its link. Dropping it closes the link, so that no
-/// link stands without a task, whenever that is cancelled.
+/// `LinkGuard` ties a link to the task of its connection. Dropping it closes the link, so that no link
+/// stays open after its task is cancelled.
 #[derive(Debug)]
 pub(crate) struct LinkGuard<C: Clock> {
     hub: Rc<Hub<C>>,
     pub(crate) link: LinkId,
     pub(crate) outgoing: mpsc::Receiver<Message>,
-    /// Ends when the link is to be closed.
+    /// Completes when the link is to be closed.
     pub(crate) closed: oneshot::Receiver<()>,
 }
 
@@ -59,7 +59,7 @@
 
 impl Transport for Links {
     fn send(&mut self, link: LinkId, message: Message) {
-        // The answer of a call is the confirmation.
+        // The response to a call serves as the confirmation.
         if matches!(message, Message::Confirm { .. }) {
             return;
         }
@@ -77,7 +77,7 @@
     links_changed: bool,
 }
 
-/// `Hub` connects the pure node with the connections and with the handle.
+/// `Hub` connects the gossip node with the connections and the handle.
 #[derive(Debug)]
 pub(crate) struct Hub<C> {
     pub(crate) options: PeerOptions,
@@ -87,21 +87,22 @@
 }
 
 impl<C: Clock> Hub<C> {
-    /// Makes a hub without connections.
+    /// Creates a hub without connections.
     pub(crate) fn new(options: PeerOptions, received: Arc<Received>, clock: C) -> Rc<Self> {
         let node = GossipNode::new(options.name.clone(), options.gossip);
         let state = State { node, links: Links::default(), last_link: 0, links_changed: false };
         Rc::new(Self { options, received, clock, state: RefCell::new(state) })
     }
 
-    /// Opens a link to an instance that has proved itself.
+    /// Opens a link to an authenticated instance.
     ///
-    /// Two instances may connect to each other at the same time. Both keep the connection that the
-    /// smaller name made, so that they do not close one each.
+    /// Two instances may connect to each other at the same time. Both retain the connection that the
+    /// instance with the smaller name opened; otherwise each might close the other's connection.
     ///
     /// # Errors
     ///
-    /// `Error::LinkRejected` if another link to it stands or all places are taken.
+    /// `Error::LinkRejected` if another link to the instance is preferred or the limit on links is
+    /// reached.
     pub(crate) fn open(
         self: &Rc<Self>,
         name: InstanceName,
@@ -114,7 +115,7 @@
             let wanted = match (entry.direction, direction) {
                 (Direction::Dialed, Direction::Accepted) => !own_name_first,
                 (Direction::Accepted, Direction::Dialed) => own_name_first,
-                // The other side has given the standing one up.
+                // The other side has abandoned the existing link.
                 (Direction::Accepted, Direction::Accepted) => true,
                 (Direction::Dialed, Direction::Dialed) => false,
             };
@@ -137,23 +138,23 @@
         Ok(LinkGuard { hub: Rc::clone(self), link, outgoing, closed })
     }
 
-    /// Closes a link, if it still stands.
+    /// Closes a link if it is still open.
     pub(crate) fn close(&self, link: LinkId) {
         self.remove(&mut self.state.borrow_mut(), link);
     }
 
-    /// Returns the instances that links stand to, with the links that this instance made.
+    /// Returns the instances with an open link, with the link and its direction.
     pub(crate) fn linked(&self) -> BTreeMap<InstanceName, (LinkId, Direction)> {
         let state = self.state.borrow();
         let entries = state.links.0.iter();
         entries.map(|(link, entry)| (entry.name.clone(), (*link, entry.direction))).collect()
     }
 
-    /// Takes a message from a partner.
+    /// Passes a message from a partner to the node and publishes the changes.
     ///
     /// # Errors
     ///
-    /// `Error::LinkRejected` if the link has been closed meanwhile; what the node returns otherwise.
+    /// `Error::LinkRejected` if the link has been closed meanwhile; otherwise any error of the node.
     pub(crate) fn receive(&self, link: LinkId, message: Message) -> Result<()> {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -167,11 +168,11 @@
         Ok(())
     }
 
-    /// Answers a partner's pull.
+    /// Returns the transfer that answers a partner's pull, or `None` if the partner is up to date.
     ///
     /// # Errors
     ///
-    /// `Error::LinkRejected` if the link has been closed meanwhile; what the node returns otherwise.
+    /// `Error::LinkRejected` if the link has been closed meanwhile; otherwise any error of the node.
     pub(crate) fn answer_pull(&self, link: LinkId, have: Revision) -> Result<Option<Transfer>> {
         let mut state = self.state.borrow_mut();
         if !state.links.0.contains_key(&link) {
@@ -180,12 +181,12 @@
         state.node.answer_pull(have)
     }
 
-    /// Sends what is due and publishes what has changed.
+    /// Runs the node's pending work and publishes the changes.
     pub(crate) fn tick(&self) {
         self.with_node(|_| ());
     }
 
-    /// Changes the node and sends what has become due.
+    /// Changes the node, runs its pending work and publishes the changes.
     pub(crate) fn with_node(&self, change: impl FnOnce(&mut GossipNode)) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
--- a/crates/anvilhook-peer/src/links/meters.rs
+++ b/crates/anvilhook-peer/src/links/meters.rs
@@ -1,4 +1,4 @@
-//! Counts the bytes of a connection and bounds what the other side may send.
+//! Counts the bytes of a connection and limits how much the remote side may send.
 
 use std::cell::Cell;
 use std::io;
@@ -15,20 +15,20 @@
 use crate::handles::Received;
 use crate::options::PeerOptions;
 
-/// `Meter` is what is known of one connection's traffic.
+/// `Meter` tracks the traffic of one connection and enforces the receive limit.
 #[derive(Debug)]
 pub(crate) struct Meter {
     received: Arc<Received>,
     bytes_per_s: f64,
     burst: f64,
-    // What the other side may still send now.
+    // The number of bytes that the remote side may still send now.
     allowance: Cell<f64>,
     refilled_at: Cell<Instant>,
     is_authenticated: Cell<bool>,
 }
 
 impl Meter {
-    /// Makes the meter of a connection whose other side has not proved itself.
+    /// Creates the meter of an unauthenticated connection.
     pub(crate) fn new(options: &PeerOptions, received: Arc<Received>) -> Rc<Self> {
         Rc::new(Self {
             received,
@@ -40,7 +40,7 @@
         })
     }
 
-    /// Gives the other side the allowance of a partner.
+    /// Grants the remote side the allowance of an authenticated partner.
     pub(crate) fn set_authenticated(&self) {
         self.is_authenticated.set(true);
         self.allowance.set(self.burst);
@@ -62,7 +62,7 @@
     }
 }
 
-/// `Metered` is one half of a connection with its meter.
+/// `Metered` wraps one half of a connection with its meter.
 #[derive(Debug)]
 pub(crate) struct Metered<S> {
     stream: S,
@@ -70,7 +70,7 @@
 }
 
 impl<S> Metered<S> {
-    /// Puts a meter on one half of a connection.
+    /// Wraps one half of a connection.
     pub(crate) fn new(stream: S, meter: Rc<Meter>) -> Self {
         Self { stream, meter }
     }
--- a/crates/anvilhook-peer/src/links/mod.rs
+++ b/crates/anvilhook-peer/src/links/mod.rs
@@ -1,4 +1,5 @@
-//! The link over capnp-rpc. The library's futures stay on one thread, so the link has one of its own.
+//! Runs the link over capnp-rpc. The library's futures are bound to one thread, so the link has a
+//! separate thread.
 
 pub(crate) mod connections;
 pub(crate) mod dialers;
@@ -28,23 +29,23 @@
 use dialers::Dialer;
 use hubs::Hub;
 
-/// How often the link looks for what is due.
+/// How often the link checks for pending work.
 const TICK: Duration = Duration::from_millis(50);
 
-/// How often the link looks for partners that are missing.
+/// How often the link checks for missing partners.
 const DIAL_TICK: Duration = Duration::from_millis(200);
 
 /// How long the link waits after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// `PeerLink` starts an instance's link to the others.
+/// `PeerLink` starts an instance's link to the other instances.
 #[derive(Debug)]
 pub struct PeerLink;
 
 impl PeerLink {
-    /// Starts the link on a thread of its own.
+    /// Starts the link on a separate thread.
     ///
-    /// `announced` are the instances known at the start, from the platform's list or the settings;
+    /// `announced` holds the instances known at the start, from the instance list or the settings.
     /// `PeerHandle::set_announced` replaces them.
     ///
     /// # Errors
@@ -85,7 +86,7 @@
                 let main = run(hub, listener, inputs, clock);
                 let ended = LocalSet::new().block_on(&runtime, main);
                 if let Err(err) = ended {
-                    log::error!("peer link ended: {err}");
+                    log::error!("peer link failed: {err}");
                 }
             })
             .map_err(Error::start)?;
@@ -93,7 +94,8 @@
     }
 }
 
-/// `Inputs` is what comes from the handle. The channels close when the last handle is dropped.
+/// `Inputs` receives the values published by the handle. The channels close when the last handle is
+/// dropped.
 struct Inputs {
     configuration: watch::Receiver<Option<Arc<anvilhook_core::resources::Configuration>>>,
     acks: watch::Receiver<AckSection>,
@@ -171,7 +173,7 @@
             accepted = listener.accept() => {
                 match accepted {
                     Ok((stream, _address)) => serve(&hub, stream, &unauthenticated),
-                    // The system is short of something; asking again at once would only spin.
+                    // The system has run out of a resource, so an immediate retry would only spin.
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 }
                 Ok(())
@@ -190,13 +192,13 @@
             }
         };
         if changed.is_err() {
-            // The last handle is gone.
+            // The last handle was dropped.
             return Ok(());
         }
     }
 }
 
-/// Serves a connection on a task of its own, if not too many are unproved.
+/// Serves a connection in a separate task, unless too many connections are unauthenticated.
 fn serve<C: Clock>(hub: &Rc<Hub<C>>, stream: TcpStream, unauthenticated: &Arc<Semaphore>) {
     let Ok(permit) = Arc::clone(unauthenticated).try_acquire_owned() else {
         return;
@@ -208,7 +210,7 @@
         match accepted {
             Ok((driver, admitted)) => {
                 let ended = connections::run(hub, driver, admitted).await;
-                log::debug!("accepted peer link ended: {ended}");
+                log::debug!("accepted peer link closed: {ended}");
             }
             Err(err) => log::debug!("peer connection refused: {err}"),
         }
--- a/crates/anvilhook-peer/src/links/services.rs
+++ b/crates/anvilhook-peer/src/links/services.rs
@@ -1,4 +1,4 @@
-//! What an instance answers its partners.
+//! Serves the calls of partners.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 use crate::gossip::{LinkId, Message};
 use crate::peer_capnp::peer;
 
-/// `PeerService` serves one link.
+/// `PeerService` serves the calls on one link.
 pub(crate) struct PeerService<C> {
     pub(crate) hub: Rc<Hub<C>>,
     pub(crate) link: LinkId,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Puts an error into the library's form.
+/// Converts an error to the library's error type.
 pub(crate) fn to_capnp(err: Error) -> capnp::Error {
     capnp::Error::failed(err.to_string())
 }
--- a/crates/anvilhook-peer/src/options.rs
+++ b/crates/anvilhook-peer/src/options.rs
@@ -1,4 +1,4 @@
-//! What a link is started with.
+//! The options with which a link is started.
 
 use std::net::SocketAddr;
 
@@ -8,50 +8,51 @@
 use crate::gossip::GossipOptions;
 use crate::keys::PeerKey;
 
-/// `PeerAddress` is where an instance listens for its peers.
+/// `PeerAddress` is the address at which an instance listens for its peers.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct PeerAddress {
-    /// The instance.
+    /// The instance's name.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: ZoneName,
-    /// Its peer address.
+    /// The address for peer connections.
     pub address: SocketAddr,
 }
 
-/// `PeerOptions` says who an instance is and bounds its links.
+/// `PeerOptions` identifies an instance and limits its links.
 #[derive(Clone, Debug)]
 pub struct PeerOptions {
-    /// The instance's name. A restarted process takes a new one, because numbers begin anew.
+    /// The instance's name. A restarted process takes a new name, because its section numbers start
+    /// again.
     pub name: InstanceName,
-    /// Its availability zone.
+    /// The instance's availability zone.
     pub zone: ZoneName,
     /// The key that all instances share.
     pub key: PeerKey,
-    /// What is said, how often, and to how many.
+    /// The limits on what is sent, how often, and to how many partners.
     pub gossip: GossipOptions,
-    /// The most links, in both directions.
+    /// The maximum number of links, in both directions together.
     pub max_links: usize,
-    /// The most accepted connections that have not proved themselves yet.
+    /// The maximum number of accepted connections that are not yet authenticated.
     pub max_unauthenticated: usize,
-    /// How long connecting and proving may take.
+    /// The time limit for connecting and authenticating.
     pub connect_timeout: Millis,
-    /// The first wait before an instance that failed is tried again. It doubles with each failure.
+    /// The wait before the first retry of an instance that failed. It doubles with each failure.
     pub backoff: Millis,
-    /// The longest wait.
+    /// The maximum wait before a retry.
     pub max_backoff: Millis,
-    /// The largest message, in bytes.
+    /// The maximum size of a message, in bytes.
     pub max_message_bytes: usize,
-    /// The bytes that may arrive before the other side has proved itself.
+    /// The number of bytes that may arrive before the remote side is authenticated.
     pub max_unauthenticated_bytes: u64,
-    /// The bytes a second that a partner may send for long; a burst may have `burst_bytes`.
+    /// The sustained rate at which a partner may send, in bytes per second.
     pub max_bytes_per_s: u64,
-    /// The bytes that a partner may send at once.
+    /// The number of bytes that a partner may send in a burst above that rate.
     pub burst_bytes: u64,
 }
 
 impl PeerOptions {
-    /// Returns the defaults for an instance.
+    /// Creates the default options for an instance.
     pub fn new(name: InstanceName, zone: ZoneName, key: PeerKey) -> Self {
         Self {
             name,
--- a/crates/anvilhook-peer/tests/digests.rs
+++ b/crates/anvilhook-peer/tests/digests.rs
@@ -1,5 +1,5 @@
-//! What reading engines and telling the others costs as the fleet grows, worked out from the
-//! functions that decide it.
+//! Computes the cost of polling engines and publishing load sections as the fleet grows, from the
+//! functions that determine it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,10 +15,10 @@
     spacing, traffic,
 };
 
-/// How often a reader reads an engine.
+/// How often a reader polls an engine.
 const READS_PER_S: usize = 4;
 
-/// Returns the section of an instance that reads and uses so many engines.
+/// Returns the section of an instance that polls `reads` engines and uses `uses` engines.
 fn section(reads: usize, uses: usize) -> LoadSection {
     let engine: UpstreamName = "engine-1".parse().unwrap();
     let report = LoadReport {
@@ -48,7 +48,7 @@
     LoadSection { engines: vec![sent; uses], reports: vec![ReportDigest { engine, report }; reads] }
 }
 
-/// Returns the instances that hear an instance's section, itself among them.
+/// Returns the instances that receive the section of `from`, including itself.
 fn reached(links: &BTreeMap<usize, BTreeSet<usize>>, from: usize, hops: u8) -> BTreeSet<usize> {
     let mut known = BTreeSet::from([from]);
     for _ in 0..hops {
@@ -76,7 +76,10 @@
 #[test]
 fn verify_cost_of_digests_as_the_fleet_grows() {
     let (gossip, reading) = (GossipOptions::default(), PollOptions::default());
-    println!("instances engines | all read all/s | readers/s missed/s | bytes/s a node, every ms");
+    println!(
+        "instances engines | polls/s if all poll all | polls/s by readers, for missed engines | \
+         bytes/s per node, interval in ms"
+    );
     for (count, engine_count) in [(3, 12), (9, 12), (27, 42), (81, 125), (390, 600)] {
         let members: Vec<PeerAddress> = (0..count)
             .map(|at| PeerAddress {
@@ -94,7 +97,7 @@
         let readers: Vec<Vec<usize>> = (0..engine_count).map(readers).collect();
         let pairs: usize = readers.iter().map(Vec::len).sum();
 
-        // Of the engines, an instance uses as many at a time as it sends requests in a second.
+        // An instance uses as many engines at a time as it sends requests per second.
         let bytes = section(pairs.div_ceil(count), engine_count.min(9)).wire_bytes();
         let degree = gossip.partners.degree().min(count - 1);
         let budget = gossip.load_bytes_per_s;
@@ -103,7 +106,7 @@
         let every = spacing(sections, bytes, budget).max(gossip.load_interval);
         let bytes_per_s = sections as u64 * bytes as u64 * 1_000 / every.0;
 
-        // Whom no section reaches reads by itself.
+        // An instance that receives no report of an engine polls the engine itself.
         let links = links(&members);
         let reach: Vec<_> = (0..count).map(|at| reached(&links, at, hops)).collect();
         let covered = |readers: &Vec<usize>| -> BTreeSet<usize> {
@@ -121,11 +124,12 @@
         let missing_none = missed.iter().filter(|missed| **missed == 0).count();
         println!(
             "{count} {engine_count} | {before} | {reads} {missed_reads} | {bytes_per_s}, {} | \
-             hops {hops}, missed at one {max_missed}, instances that miss none {missing_none}",
+             hops {hops}, engines missed by one instance at most {max_missed}, instances that miss \
+             none {missing_none}",
             every.0
         );
 
-        assert_eq!(pairs, READERS * engine_count, "not a reading per pair");
+        assert_eq!(pairs, READERS * engine_count, "each engine must have {READERS} readers");
         assert!(bytes_per_s <= u64::from(budget), "{count}: {bytes_per_s}");
         assert!(missed_reads <= reading.missed_per_s * count as u64);
     }
--- a/crates/anvilhook-peer/tests/gossip.rs
+++ b/crates/anvilhook-peer/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! What is merged while all messages are dropped, delayed, repeated and reordered.
+//! Tests of the gossip node over a simulated network that drops, delays, repeats and reorders
+//! messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,17 +19,17 @@
 const STEP: Millis = Millis(50);
 const MAX_DELAY: Millis = Millis(4_000);
 
-/// `Faults` says what happens to messages, as probabilities.
+/// `Faults` holds the probabilities of network faults.
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
     drop: f64,
     delay: f64,
     repeat: f64,
-    /// That a link is given up and made anew, in a step.
+    /// The probability that a step replaces one link with a new one.
     reconnect: f64,
 }
 
-/// `Outbox` collects what a node sends.
+/// `Outbox` collects the messages that a node sends.
 #[derive(Default)]
 struct Outbox(Vec<(LinkId, Message)>);
 
@@ -45,7 +46,7 @@
     message: Message,
 }
 
-/// `Written` is what has really been written.
+/// `Written` holds the newest values that have actually been written.
 #[derive(Default)]
 struct Written {
     revision: u64,
@@ -54,7 +55,8 @@
     loads: u32,
 }
 
-/// `Seen` is the highest that a node has seen: the revision, and generations and terms by origin.
+/// `Seen` holds the highest revision that a node has seen, and the highest generation and term by
+/// origin.
 #[derive(Clone, Default)]
 struct Seen {
     revision: Revision,
@@ -84,7 +86,7 @@
     "engine-1".parse().unwrap()
 }
 
-/// Makes a configuration of its revision that has other resources than the one before.
+/// Creates the configuration of a revision, whose resources differ from those of the previous one.
 fn configuration(revision: u64) -> Configuration {
     let resource = |number: u64| Resource {
         name: format!("account-{number}").parse().unwrap(),
@@ -100,7 +102,7 @@
 }
 
 impl Network {
-    /// Connects nine nodes on a ring with chords.
+    /// Creates a network whose nodes are connected in a ring with chords.
     fn new(seed: u64) -> Self {
         let all: BTreeSet<InstanceName> = (0..NODES).map(name).collect();
         let node = |at: usize| {
@@ -184,7 +186,7 @@
         let at = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..5) {
             0 => {
-                // A follower that lags hands on what has long been replaced.
+                // A lagging follower publishes a configuration that has long been replaced.
                 let old = Arc::new(configuration(self.written.revision / 2));
                 self.nodes[at].offer_configuration(old);
             }
@@ -219,12 +221,12 @@
         self.nodes[at].write_acks(section, self.now);
     }
 
-    /// Checks that a node's knowledge has not gone backwards and holds nothing that was not written.
+    /// Checks that a node's state has not reverted and contains only values that were written.
     fn check(&mut self, at: usize) {
         let node = &self.nodes[at];
         let Seen { revision, acks } = &mut self.seen[at];
         let newest = node.configuration().map_or(Revision(0), |newest| newest.revision());
-        assert!(newest >= *revision, "{at}: the configuration went back to {newest}");
+        assert!(newest >= *revision, "{at}: the configuration reverted to {newest}");
         assert!(newest.0 <= self.written.revision);
         if newest > *revision {
             assert_eq!(**node.configuration().unwrap(), configuration(newest.0));
@@ -234,7 +236,7 @@
             let generation = received.body.drains[0].generation;
             let term = received.body.term(&"pool-a".parse().unwrap()).unwrap().0;
             let last = acks.entry(origin.clone()).or_default();
-            assert!((generation, term) >= *last, "{at}: {origin}'s acknowledgement went back");
+            assert!((generation, term) >= *last, "{at}: {origin}'s acknowledgement reverted");
             assert!(generation <= self.written.generations[index(&origin)]);
             assert!(received.body.has_drained(&engine(), generation));
             assert!(!received.body.has_drained(&engine(), generation + 1));
@@ -262,11 +264,10 @@
 
 #[test]
 fn verify_faulty_delivery_never_reverts_state() {
-    // Symptom: an instance serves an older configuration, or an order is given on an old
-    // acknowledgement.
-    // Sequence: updates, confirmations, pulls and transfers are dropped, delayed up to 4 s, repeated
-    // and overtaken by later ones, and links are made anew in between.
-    // Cause: news that is merged by its arrival instead of by its number.
+    // Guards against an instance that reverts to an older configuration, and an order that is given
+    // because of an outdated acknowledgement. Updates, confirmations, pulls and transfers are
+    // dropped, delayed by up to 4 s, repeated and reordered, and links are replaced meanwhile. The
+    // failure occurs if updates are merged in order of arrival instead of by their numbers.
     let none = Faults::default();
     let all = Faults { drop: 0.3, delay: 0.3, repeat: 0.2, reconnect: 0.02 };
     let cases = [
@@ -296,7 +297,7 @@
                 network.step(&none);
             }
 
-            // Assert: once messages pass again, all know the same.
+            // Assert: once messages are delivered again, all nodes converge.
             for node in &network.nodes {
                 let newest = node.configuration().unwrap();
                 assert_eq!(newest.revision().0, network.written.revision, "{case} {seed}");
@@ -305,7 +306,7 @@
                     assert!(received.body.has_drained(&engine(), generation), "{case} {seed}");
                 }
                 assert_eq!(node.acks().len(), NODES - 1, "{case} {seed}");
-                // The load that was written before has aged out everywhere.
+                // All load sections written before have expired on every node.
                 assert!(node.load().is_empty(), "{case} {seed}");
             }
         }
@@ -314,9 +315,9 @@
 
 #[test]
 fn verify_late_load_section_is_ignored() {
-    // Symptom: work sent long ago counts as if it had just been sent.
-    // Sequence: a section is written, a later one ages out, then the first arrives late.
-    // Cause: forgetting the number of a section together with the section.
+    // Guards against work sent long ago that counts as just sent. A section is written, a later one
+    // expires, then the first arrives late. The failure occurs if the number of a section is removed
+    // together with the section.
 
     // Arrange.
     let mut network = Network::new(1);
@@ -366,7 +367,7 @@
     assert_eq!(node.acks().len(), 1);
     let later = options.retention + options.retention;
 
-    // Act and assert: it is kept as long as the other is announced, and no longer.
+    // Act and assert: the section is retained only while the other instance is announced.
     node.tick(later, &mut Outbox::default());
     assert_eq!(node.acks().len(), 1);
     node.set_announced(BTreeSet::new());
@@ -376,11 +377,10 @@
 
 #[test]
 fn verify_own_section_numbers_survive_retention() {
-    // Symptom: a drain that takes long waits for ever for one instance's acknowledgement.
-    // Sequence: the instance is not among those that it was told are announced; more than the
-    // retention later it acknowledges again.
-    // Cause: it forgot its own section, began its numbers anew, and its partners took the next for
-    // an old one.
+    // Guards against a long drain that waits forever for one instance's acknowledgement. The
+    // instance is missing from its own list of announced instances and acknowledges again after more
+    // than the retention time. The failure occurs if it removes its own section and restarts the
+    // numbers, because its partners then ignore the next section as old.
 
     // Arrange.
     let options = GossipOptions::default();
@@ -414,7 +414,7 @@
 
 #[test]
 fn verify_demand_is_published_only_while_it_stays_fresh() {
-    // Announced instances, accounts in a section, whether it is told.
+    // Announced instances, accounts in a section, whether the section is published.
     let cases = [(9, 16, true), (32, 16, true), (33, 16, false), (88, 4, true), (390, 4, false)];
     for (instances, accounts, is_published) in cases {
         // Arrange.
@@ -434,7 +434,9 @@
         node.tick(Millis(1), &mut outbox);
 
         // Assert.
-        let Message::Update { update, .. } = &outbox.0[0].1 else { panic!("no update") };
+        let Message::Update { update, .. } = &outbox.0[0].1 else {
+            panic!("the first message is not an update")
+        };
         assert_eq!(!update.demand.is_empty(), is_published, "{instances} instances");
     }
 }
--- a/crates/anvilhook-peer/tests/keys.rs
+++ b/crates/anvilhook-peer/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Proofs of holding the shared key.
+//! Tests of the shared key and the proofs that an instance holds it.
 
 use anvilhook_peer::keys::{Handshake, MIN_KEY_BYTES, Side};
 use anvilhook_peer::{Error, PeerKey};
@@ -18,13 +18,12 @@
 
 #[test]
 fn verify_a_proof_is_valid_for_its_handshake_only() {
-    // Symptom: a stranger is taken for an instance.
-    // Sequence: it sends back a proof that it was sent, or one that it overheard earlier.
-    // Cause: a proof that does not cover the side, a nonce or a name.
+    // Guards against a foreign process that is accepted as an instance by replaying a proof that it
+    // received or recorded. The failure occurs if a proof does not cover the side, a nonce or a name.
     let good = handshake();
     let proof = key().prove(Side::Caller, &good);
     let cases = [
-        ("sent back", Side::Callee, good.clone()),
+        ("reflected", Side::Callee, good.clone()),
         (
             "other caller nonce",
             Side::Caller,
--- a/crates/anvilhook-peer/tests/links.rs
+++ b/crates/anvilhook-peer/tests/links.rs
@@ -1,4 +1,4 @@
-//! The link over real connections on the loopback.
+//! Tests of the link over real loopback connections.
 
 use std::collections::BTreeSet;
 use std::net::{SocketAddr, TcpListener};
@@ -21,10 +21,10 @@
 const KEY: &[u8] = b"an example key of thirty-two bytes";
 const OTHER_KEY: &[u8] = b"another example key of many bytes!";
 
-/// A guard against a test that hangs; no test's outcome depends on it.
+/// The time limit that stops a hanging test. No test's outcome depends on it.
 const GUARD: Duration = Duration::from_secs(30);
 
-/// Returns a report whose fields all differ from those of an empty message.
+/// Returns a report in which every field differs from its default in an empty message.
 fn report_digest() -> ReportDigest {
     let report = LoadReport {
         boot: 3,
@@ -50,12 +50,12 @@
     handles: Vec<PeerHandle>,
 }
 
-/// Starts `count` instances in three zones that have been announced to each other.
+/// Starts `count` instances in three zones that are announced to each other.
 fn start(count: usize, change: impl Fn(usize, &mut PeerOptions)) -> Fixture {
     start_in(3, count, change)
 }
 
-/// Starts `count` instances that have been announced to each other.
+/// Starts `count` instances in `zones` zones that are announced to each other.
 fn start_in(zones: usize, count: usize, change: impl Fn(usize, &mut PeerOptions)) -> Fixture {
     let listeners: Vec<TcpListener> =
         (0..count).map(|_| TcpListener::bind("127.0.0.1:0").unwrap()).collect();
@@ -111,7 +111,7 @@
             changes.changed().await.unwrap();
         }
     };
-    tokio::time::timeout(GUARD, waiting).await.expect("the news never came");
+    tokio::time::timeout(GUARD, waiting).await.expect("the expected view was not reached");
 }
 
 async fn wait_for_revision(handle: &PeerHandle, revision: u64) -> Arc<Configuration> {
@@ -120,7 +120,8 @@
         newest.as_ref().is_some_and(|newest| newest.revision() >= Revision(revision))
     };
     let waiting = newest.wait_for(reached);
-    let reached = tokio::time::timeout(GUARD, waiting).await.expect("the revision never came");
+    let reached =
+        tokio::time::timeout(GUARD, waiting).await.expect("the revision was not received");
     reached.unwrap().clone().unwrap()
 }
 
@@ -135,7 +136,8 @@
     for handle in &handles[1..] {
         assert_eq!(*wait_for_revision(handle, 7).await, *configuration(7, 40));
     }
-    // The second goes as a change of the first, with resources put and deleted.
+    // The second configuration is sent as a change based on the first, with resources put and
+    // deleted.
     handles[3].publish_configuration(configuration(8, 39));
     handles[1].publish_acks(ack(5));
     handles[1].publish_load(LoadSection {
@@ -190,7 +192,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let late = peer(0, 3, listener.local_addr().unwrap());
 
-    // Act: the others have not heard of the late one.
+    // Act: the late instance is not announced to the others.
     let options = options(&late, KEY);
     let peers = fixture.peers.clone();
     let handle = PeerLink::start(options, listener, peers, SystemClock::new()).unwrap();
@@ -203,22 +205,22 @@
 
 #[tokio::test]
 async fn verify_a_peer_without_the_key_is_refused() {
-    // Symptom: a process that does not hold the key hears or says something.
-    // Sequence: it connects and is connected to, with its own key, beside two that hold the key.
-    // Cause: a proof that is not checked in one of the two directions.
+    // Guards against a process without the shared key that receives or publishes data. It connects
+    // and accepts connections with its own key, alongside two instances that hold the shared key. The
+    // failure occurs if the proof is not checked in one of the two directions.
 
     // Arrange.
-    let stranger = 2;
+    let outsider = 2;
     let fixture = start(3, |at, options| {
-        if at == stranger {
+        if at == outsider {
             options.key = PeerKey::try_new(OTHER_KEY).unwrap();
         }
     });
     let handles = &fixture.handles;
 
     // Act.
-    handles[stranger].publish_configuration(configuration(99, 1));
-    handles[stranger].publish_acks(ack(1));
+    handles[outsider].publish_configuration(configuration(99, 1));
+    handles[outsider].publish_acks(ack(1));
     handles[0].publish_configuration(configuration(1, 1));
     handles[0].publish_acks(ack(2));
     wait_for_revision(&handles[1], 1).await;
@@ -228,29 +230,29 @@
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
     };
-    tokio::time::timeout(GUARD, refusing).await.expect("nobody was refused");
+    tokio::time::timeout(GUARD, refusing).await.expect("not every instance refused a connection");
 
     // Assert.
-    let name = &fixture.peers[stranger].name;
+    let name = &fixture.peers[outsider].name;
     for handle in &handles[..2] {
         assert!(!handle.view().linked.contains(name));
         assert!(!handle.view().acks.contains_key(name));
     }
     assert_eq!(handles[1].configurations().borrow().as_ref().unwrap().revision(), Revision(1));
-    assert!(handles[stranger].view().linked.is_empty());
-    assert!(handles[stranger].configurations().borrow().is_none());
-    assert_eq!(handles[stranger].counts().links_opened, 0);
+    assert!(handles[outsider].view().linked.is_empty());
+    assert!(handles[outsider].configurations().borrow().is_none());
+    assert_eq!(handles[outsider].counts().links_opened, 0);
 }
 
 #[tokio::test]
 async fn verify_unauthenticated_connections_are_bounded_and_closed() {
-    // Symptom: strangers fill the memory or the connections of an instance.
-    // Sequence: they send garbage, a huge length, too many bytes, or nothing.
-    // Cause: a connection that may go on without having proved itself.
+    // Guards against unauthenticated processes that exhaust the memory or the connections of an
+    // instance by sending garbage, a huge length, too many bytes, or nothing. The failure occurs if a
+    // connection may continue without authentication.
 
     // A segment table that announces 2 GiB.
     let huge: Vec<u8> = [0_u32.to_le_bytes(), 0x1000_0000_u32.to_le_bytes()].concat();
-    // One that announces 3 MiB, which a partner may send, and the first of them.
+    // A segment table that announces 3 MiB, which a partner may send, followed by the first 1 MiB.
     let many: Vec<u8> = [0_u32.to_le_bytes(), 0x6_0000_u32.to_le_bytes()].concat();
     let many = [many, vec![0; 1024 * 1024]].concat();
     let cases: [(&str, Vec<u8>); 4] =
@@ -260,36 +262,36 @@
         options.max_unauthenticated = 2;
     });
     for (case, bytes) in cases {
-        // Arrange: more at once than may be unproved.
+        // Arrange: more connections at once than may be unauthenticated.
         let mut streams = Vec::new();
         for _ in 0..8 {
             streams.push(TcpStream::connect(fixture.peers[0].address).await.unwrap());
         }
 
-        // Act. A connection that has been closed may refuse the bytes.
+        // Act: writing may fail on a connection that has already been closed.
         for stream in &mut streams {
             let _ = stream.write_all(&bytes).await;
         }
 
-        // Assert: each comes to its end.
+        // Assert: each connection is closed.
         for mut stream in streams {
             let mut buf = Vec::new();
             let ended = tokio::time::timeout(GUARD, stream.read_to_end(&mut buf)).await;
-            assert!(ended.is_ok(), "{case}: a connection goes on");
+            assert!(ended.is_ok(), "{case}: a connection stays open");
         }
     }
     assert_eq!(fixture.handles[0].counts().links_opened, 0);
-    // What was sent beyond the limit was not read: the counter holds far less than 8 MiB.
+    // Bytes beyond the limit are not read, so the counter stays far below 8 MiB.
     assert!(fixture.handles[0].counts().bytes_in < 1024 * 1024);
 }
 
 #[tokio::test]
 async fn verify_a_partner_over_the_byte_limit_is_disconnected() {
-    // Symptom: one instance fills its partners' time and memory.
-    // Sequence: a whole configuration larger than what a partner may send at once.
-    // Cause: sizes that are not bounded on the receiving side.
+    // Guards against one instance that uses up its partners' time and memory. It sends a complete
+    // configuration that is larger than a partner's burst limit. The failure occurs if sizes are not
+    // limited on the receiving side.
 
-    // Arrange: only the receiver has a low bound.
+    // Arrange: only the receiver has a low limit.
     let fixture = start(2, |at, options| {
         if at == 1 {
             options.burst_bytes = 64 * 1024;
@@ -302,7 +304,7 @@
     // Act.
     handles[0].publish_configuration(configuration(1, 2_000));
 
-    // Assert: each new link is cut off too, because each begins with the same pull.
+    // Assert: each new link is closed too, because each begins with the same pull.
     wait_for(&handles[1], |_| {
         assert!(handles[1].configurations().borrow().is_none());
         handles[1].counts().links_closed >= 4
@@ -312,13 +314,13 @@
 
 #[tokio::test]
 async fn verify_an_unresponsive_link_is_closed_and_replaced() {
-    // Symptom: an instance hears nothing for ever over a connection that looks open.
-    // Sequence: the one partner accepts and proves nothing; then a real one takes its address.
-    // Cause: a connection without a bound on silence.
+    // Guards against an instance that waits forever on an open connection without responses. The
+    // only partner accepts the connection and never authenticates; then a working instance takes over
+    // its address. The failure occurs if a connection has no time limit for responses.
 
-    // Arrange: the announced address accepts connections but nobody answers.
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = silent.local_addr().unwrap();
+    // Arrange: the announced address accepts connections but never responds.
+    let unresponsive = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = unresponsive.local_addr().unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let me = peer(0, 0, listener.local_addr().unwrap());
     let partner = peer(1, 1, address);
@@ -327,17 +329,17 @@
     own.max_backoff = Millis(200);
     let peers = vec![me.clone(), partner.clone()];
     let handle = PeerLink::start(own, listener, peers, SystemClock::new()).unwrap();
-    silent.set_nonblocking(true).unwrap();
-    let silent = tokio::net::TcpListener::from_std(silent).unwrap();
-    let (mut first, _) = tokio::time::timeout(GUARD, silent.accept()).await.unwrap().unwrap();
+    unresponsive.set_nonblocking(true).unwrap();
+    let unresponsive = tokio::net::TcpListener::from_std(unresponsive).unwrap();
+    let (mut first, _) = tokio::time::timeout(GUARD, unresponsive.accept()).await.unwrap().unwrap();
     let ended = tokio::time::timeout(GUARD, first.read_to_end(&mut Vec::new())).await;
-    assert!(ended.is_ok(), "the silent connection goes on");
+    assert!(ended.is_ok(), "the unresponsive connection stays open");
 
     // Act.
-    let listener = silent.into_std().unwrap();
-    let nobody = Vec::new();
+    let listener = unresponsive.into_std().unwrap();
+    let no_peers = Vec::new();
     let other =
-        PeerLink::start(options(&partner, KEY), listener, nobody, SystemClock::new()).unwrap();
+        PeerLink::start(options(&partner, KEY), listener, no_peers, SystemClock::new()).unwrap();
 
     // Assert.
     wait_for(&handle, |view| view.linked.contains(&partner.name)).await;
@@ -346,9 +348,9 @@
 
 #[tokio::test]
 async fn verify_updates_bypass_stopped_instances() {
-    // Symptom: part of the instances hears no news after some others have gone.
-    // Sequence: six instances stand on one ring; two stop that cut it in two.
-    // Cause: partners out of reach that nobody takes the place of.
+    // Guards against instances that receive no updates after others have stopped. Six instances form
+    // one ring, and two of them stop, which partitions the ring. The failure occurs if unreachable
+    // partners are not replaced.
 
     // Arrange.
     let fixture = start_in(1, 6, |_, options| {
@@ -362,13 +364,13 @@
     }
     let ring = ring_from_first(&fixture.peers);
 
-    // Act: the fourth on the ring stands alone between the two.
+    // Act: the fourth instance on the ring is isolated between the two that stop.
     handles[ring[2]].stop();
     handles[ring[4]].stop();
-    let alone = &handles[ring[3]];
-    wait_for(alone, |view| {
-        let gone = [&fixture.peers[ring[2]].name, &fixture.peers[ring[4]].name];
-        !view.linked.iter().any(|name| gone.contains(&name))
+    let isolated = &handles[ring[3]];
+    wait_for(isolated, |view| {
+        let stopped = [&fixture.peers[ring[2]].name, &fixture.peers[ring[4]].name];
+        !view.linked.iter().any(|name| stopped.contains(&name))
     })
     .await;
     handles[0].publish_configuration(configuration(2, 4));
@@ -379,7 +381,7 @@
     }
 }
 
-/// Returns the places of all instances in the order of a single ring.
+/// Returns the indexes of all instances in the order of a single ring.
 fn ring_from_first(peers: &[PeerAddress]) -> Vec<usize> {
     let mut ring = vec![0];
     while ring.len() < peers.len() {
@@ -405,10 +407,10 @@
 
 #[tokio::test]
 async fn verify_a_configuration_received_early_counts_as_a_change() {
-    // Symptom: an instance that starts while the table is down serves nothing, though its peers
-    // have handed it the configuration.
-    // Sequence: the configuration comes before the instance asks for changes.
-    // Cause: a subscription that takes what is there for seen.
+    // Guards against an instance that starts while the table is unreachable and serves nothing,
+    // although it received the configuration from its peers. The configuration arrives before the
+    // instance subscribes to changes. The failure occurs if the subscription treats the current
+    // value as already seen.
 
     // Arrange.
     let fixture = start(2, |_, _| ());
--- a/crates/anvilhook-peer/tests/partners.rs
+++ b/crates/anvilhook-peer/tests/partners.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom.
+//! Tests of the choice of partners and of the graph that they form.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,7 +16,7 @@
     (0..count).map(peer).collect()
 }
 
-/// Returns each instance's partners in both directions.
+/// Returns each reachable instance's partners in both directions.
 fn graph(
     fleet: &[PeerAddress],
     unreachable: &BTreeSet<InstanceName>,
@@ -33,7 +33,8 @@
     graph
 }
 
-/// Returns the most links between any two instances; nothing if some pair is not connected.
+/// Returns the maximum number of links between any two instances, or `None` if some pair is not
+/// connected.
 fn diameter(graph: &BTreeMap<InstanceName, BTreeSet<InstanceName>>) -> Option<usize> {
     let mut longest = 0;
     for start in graph.keys() {
@@ -57,7 +58,7 @@
 
 #[test]
 fn verify_partner_graph_has_a_small_diameter() {
-    // Instances, rings, the greatest diameter, the most partners of one.
+    // Instances, rings, the maximum diameter, the maximum number of partners of one instance.
     let cases =
         [(9, 2, 3, 6), (81, 2, 6, 6), (390, 2, 8, 6), (9, 3, 2, 8), (81, 3, 4, 8), (390, 3, 6, 8)];
     for (count, rings, max_diameter, max_partners) in cases {
@@ -68,7 +69,7 @@
         let graph = graph(&fleet, &BTreeSet::new(), &PartnerOptions { rings });
 
         // Assert.
-        let diameter = diameter(&graph).expect("connected");
+        let diameter = diameter(&graph).expect("the graph is connected");
         let max_degree = graph.values().map(BTreeSet::len).max().unwrap();
         println!(
             "{count} instances, {rings} rings: diameter {diameter}, at most {max_degree} partners"
@@ -90,7 +91,11 @@
                 &BTreeSet::new(),
                 &PartnerOptions::default(),
             );
-            assert!(chosen.iter().any(|partner| partner.zone != me.zone), "{} is alone", me.name);
+            assert!(
+                chosen.iter().any(|partner| partner.zone != me.zone),
+                "{} has no partner in another zone",
+                me.name
+            );
             assert!(chosen.iter().all(|partner| partner.name != me.name));
         }
     }
@@ -98,9 +103,9 @@
 
 #[test]
 fn verify_graph_stays_connected_without_a_zone() {
-    // Symptom: news stops at part of the instances after a zone has unreachable.
-    // Sequence: all instances of one zone out of five are out of reach at once.
-    // Cause: partners that are not replaced by others.
+    // Guards against updates that no longer reach part of the instances after a zone becomes
+    // unreachable. All instances of one zone out of five are unreachable at once. The failure occurs
+    // if unreachable partners are not replaced.
 
     // Arrange.
     let fleet = fleet(390, 5);
@@ -129,7 +134,8 @@
     // Act.
     let moved = before.iter().filter(|me| chosen(me, &before) != chosen(me, &after)).count();
 
-    // Assert: one predecessor on each ring, and the few that look for another zone.
+    // Assert: one predecessor on each ring changes, and the few instances that need a partner in
+    // another zone.
     assert!(moved <= 6, "{moved} instances changed partners");
 }
 
@@ -137,7 +143,7 @@
 fn verify_hops_and_spacing_follow_the_budget() {
     const BUDGET: u32 = 8_000;
     const SLOWEST: Millis = Millis(2_500);
-    // Instances, bytes of a section, the hops, the time between two sections of one instance.
+    // Instances, bytes per section, hops, time between two sections of one instance.
     let cases = [
         (9, 768, 2, Millis(2_304)),
         (81, 768, 1, Millis(768)),
