--- a/crates/anvilhook-peer/src/authentication.rs
+++ b/crates/anvilhook-peer/src/authentication.rs
@@ -91,18 +91,19 @@
     meter: Rc<Meter>,
     // The handshake that awaits the caller's proof. It is valid for one attempt.
     pending: RefCell<Option<Handshake>>,
-    admitted: RefCell<Option<oneshot::Sender<EstablishedLink<C>>>>,
+    established: RefCell<Option<oneshot::Sender<EstablishedLink<C>>>>,
 }
 
 impl<C: Clock> Gate<C> {
-    /// Creates the gate of one connection. It sends the link over `admitted` once it is established.
+    /// Creates the gate of one connection. It sends the link over the channel once the link is
+    /// established.
     pub(crate) fn new(
         hub: Rc<Hub<C>>,
         meter: Rc<Meter>,
-        admitted: oneshot::Sender<EstablishedLink<C>>,
+        established: oneshot::Sender<EstablishedLink<C>>,
     ) -> Self {
-        let admitted = RefCell::new(Some(admitted));
-        Self { hub, meter, pending: RefCell::new(None), admitted }
+        let established = RefCell::new(Some(established));
+        Self { hub, meter, pending: RefCell::new(None), established }
     }
 }
 
@@ -138,7 +139,7 @@
         let params = params.get()?;
         let handshake = self.pending.take().ok_or_else(|| to_capnp(Error::NotAuthentic))?;
         check(&self.hub, Side::Caller, &handshake, params.get_proof()?).map_err(to_capnp)?;
-        let admitted = self.admitted.take().ok_or_else(|| to_capnp(Error::LinkRejected))?;
+        let established = self.established.take().ok_or_else(|| to_capnp(Error::LinkRejected))?;
         let partner = params.get_peer()?;
         let guard = self.hub.open(handshake.caller, Direction::Accepted).map_err(to_capnp)?;
         self.meter.set_authenticated();
@@ -146,7 +147,7 @@
         let service = PeerService { hub: Rc::clone(&self.hub), link };
         results.get().set_peer(capnp_rpc::new_client(service));
         // If the connection's task was cancelled meanwhile, the link is dropped, which closes it.
-        let _ = admitted.send(EstablishedLink { guard, partner });
+        let _ = established.send(EstablishedLink { guard, partner });
         Ok(())
     }
 }
--- a/crates/anvilhook-peer/src/gossip/configurations.rs
+++ b/crates/anvilhook-peer/src/gossip/configurations.rs
@@ -21,7 +21,7 @@
 pub struct ConfigurationCache {
     // The newest configuration is last.
     retained: VecDeque<Arc<Configuration>>,
-    // The transfer of the complete newest configuration, once it was needed.
+    // The transfer of the complete newest configuration, encoded on first use.
     full: Option<Transfer>,
 }
 
--- a/crates/anvilhook-peer/src/gossip/knowledge.rs
+++ b/crates/anvilhook-peer/src/gossip/knowledge.rs
@@ -49,8 +49,8 @@
         };
         Self {
             announced: BTreeSet::from([me.clone()]),
-            // Acknowledgements never expire by age. They are valid until they are replaced or their
-            // writer has not been announced for the retention time.
+            // Acknowledgements never expire by age. They are valid until they are replaced, or until
+            // they exceed the retention time and their writer is not announced.
             acks: LatestSections::new(bounds(Millis::MAX)),
             load: LatestSections::new(bounds(options.load_max_age)),
             demand: LatestSections::new(bounds(options.demand_max_age)),
--- a/crates/anvilhook-peer/src/gossip/latest_sections.rs
+++ b/crates/anvilhook-peer/src/gossip/latest_sections.rs
@@ -22,7 +22,7 @@
     pub retention: Millis,
 }
 
-/// `ReceivedSection` is a section with the time and its age at which it was received.
+/// `ReceivedSection` is a section with its age and the time of its receipt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedSection<T> {
     /// The section's number among the origin's sections of this kind.
@@ -115,8 +115,8 @@
         true
     }
 
-    /// Expires old sections, removes origins that have not been announced for the retention time,
-    /// and returns whether the set of unexpired sections changed.
+    /// Expires old sections, removes unannounced origins whose section is older than the retention
+    /// time, and returns whether the set of unexpired sections changed.
     pub fn expire(&mut self, announced: &BTreeSet<InstanceName>, now: Millis) -> bool {
         let bounds = self.bounds;
         let mut changed = false;
--- a/crates/anvilhook-peer/src/gossip/partner_states.rs
+++ b/crates/anvilhook-peer/src/gossip/partner_states.rs
@@ -70,7 +70,7 @@
         self.in_flight.is_some()
     }
 
-    /// Returns whether the partner is not known to have been informed of a revision.
+    /// Returns whether a revision is newer than any that the partner has reported or confirmed.
     pub(super) fn needs(&self, revision: Revision) -> bool {
         revision > self.revision.max(self.confirmed_revision)
     }
--- a/crates/anvilhook-peer/src/gossip/sections.rs
+++ b/crates/anvilhook-peer/src/gossip/sections.rs
@@ -74,7 +74,7 @@
     }
 
     fn truncate(&mut self, max: usize) {
-        // Terms come first, because a successor cannot control the pool until they are acknowledged.
+        // Terms come first, because a successor delays its work on a whole pool until it has them.
         self.terms.truncate(max);
         self.drains.truncate(max - self.terms.len());
     }
--- a/crates/anvilhook-peer/src/links/connections.rs
+++ b/crates/anvilhook-peer/src/links/connections.rs
@@ -45,11 +45,11 @@
         let mut rpc_system = RpcSystem::new(Box::new(network), None);
         let gate: gate::Client = rpc_system.bootstrap(Side::Server);
         let driver = Driver::spawn(rpc_system);
-        let admitted = call_gate(&hub, &gate, &expected, &meter).await?;
-        Ok::<_, Error>((driver, admitted))
+        let established = call_gate(&hub, &gate, &expected, &meter).await?;
+        Ok::<_, Error>((driver, established))
     };
-    let (driver, admitted) = timeout(limit, connecting).await.map_err(|_| Error::Timeout)??;
-    Ok(tokio::task::spawn_local(run(hub, driver, admitted)))
+    let (driver, established) = timeout(limit, connecting).await.map_err(|_| Error::Timeout)??;
+    Ok(tokio::task::spawn_local(run(hub, driver, established)))
 }
 
 /// Authenticates an accepted connection and opens its link.
@@ -63,21 +63,21 @@
 ) -> Result<(Driver, EstablishedLink<C>)> {
     let meter = Meter::new(&hub.options, hub.received.clone());
     let network = network(&hub, stream, &meter, Side::Server)?;
-    let (tx, admitted) = oneshot::channel();
+    let (tx, established) = oneshot::channel();
     let gate: gate::Client = capnp_rpc::new_client(Gate::new(Rc::clone(&hub), meter, tx));
     let driver = Driver::spawn(RpcSystem::new(Box::new(network), Some(gate.client)));
     let limit = hub.options.connect_timeout.as_duration();
-    let admitted = timeout(limit, admitted).await.map_err(|_| Error::Timeout)?;
-    Ok((driver, admitted.map_err(|_| Error::NotAuthentic)?))
+    let established = timeout(limit, established).await.map_err(|_| Error::Timeout)?;
+    Ok((driver, established.map_err(|_| Error::NotAuthentic)?))
 }
 
 /// Sends a link's messages until the link closes, and returns the reason.
 pub(crate) async fn run<C: Clock>(
     hub: Rc<Hub<C>>,
     driver: Driver,
-    admitted: EstablishedLink<C>,
+    established: EstablishedLink<C>,
 ) -> Error {
-    let EstablishedLink { mut guard, partner } = admitted;
+    let EstablishedLink { mut guard, partner } = established;
     let link = guard.link;
     let limit = hub.options.gossip.answer_timeout;
     let ended = loop {
--- a/crates/anvilhook-peer/src/links/hubs.rs
+++ b/crates/anvilhook-peer/src/links/hubs.rs
@@ -97,7 +97,8 @@
     /// Opens a link to an authenticated instance.
     ///
     /// Two instances may connect to each other at the same time. Both retain the connection that the
-    /// instance with the smaller name opened; otherwise each might close the other's connection.
+    /// instance with the smaller name opened. Otherwise each could close a different connection, and
+    /// none would remain.
     ///
     /// # Errors
     ///
--- a/crates/anvilhook-peer/src/links/mod.rs
+++ b/crates/anvilhook-peer/src/links/mod.rs
@@ -208,8 +208,8 @@
         let accepted = connections::accept(Rc::clone(&hub), stream).await;
         drop(permit);
         match accepted {
-            Ok((driver, admitted)) => {
-                let ended = connections::run(hub, driver, admitted).await;
+            Ok((driver, established)) => {
+                let ended = connections::run(hub, driver, established).await;
                 log::debug!("accepted peer link closed: {ended}");
             }
             Err(err) => log::debug!("peer connection refused: {err}"),
--- a/crates/anvilhook-peer/tests/digests.rs
+++ b/crates/anvilhook-peer/tests/digests.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn verify_cost_of_digests_as_the_fleet_grows() {
-    let (gossip, reading) = (GossipOptions::default(), PollOptions::default());
+    let (gossip, polling) = (GossipOptions::default(), PollOptions::default());
     println!(
         "instances engines | polls/s if all poll all | polls/s by readers, for missed engines | \
          bytes/s per node, interval in ms"
@@ -116,8 +116,8 @@
         for covered in readers.iter().map(covered) {
             (0..count).filter(|at| !covered.contains(at)).for_each(|at| missed[at] += 1);
         }
-        let per_engine = reading.missed_every.0;
-        let rate = |missed: &u64| (missed * 1_000 / per_engine).min(reading.missed_per_s);
+        let per_engine = polling.missed_every.0;
+        let rate = |missed: &u64| (missed * 1_000 / per_engine).min(polling.missed_per_s);
         let (missed_reads, max_missed): (u64, u64) =
             (missed.iter().map(rate).sum(), missed.iter().copied().max().unwrap_or(0));
         let (reads, before) = (pairs * READS_PER_S, count * engine_count * READS_PER_S);
@@ -131,6 +131,6 @@
 
         assert_eq!(pairs, READERS * engine_count, "each engine must have {READERS} readers");
         assert!(bytes_per_s <= u64::from(budget), "{count}: {bytes_per_s}");
-        assert!(missed_reads <= reading.missed_per_s * count as u64);
+        assert!(missed_reads <= polling.missed_per_s * count as u64);
     }
 }
