--- a/crates/anvilhook-peer/src/gossip/latest_sections.rs
+++ b/crates/anvilhook-peer/src/gossip/latest_sections.rs
@@ -1,4 +1,4 @@
-//! The newest section of one kind by each instance, and how news is merged into it.
+//! Stores the newest section of one kind from each instance and merges received sections.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,29 +9,29 @@
 use super::messages::Item;
 use super::sections::Section;
 
-/// `SectionBounds` bounds which sections of a kind are taken and kept.
+/// `SectionBounds` limits which sections of a kind are accepted and retained.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SectionBounds {
-    /// The age from which a section no longer counts.
+    /// The age beyond which a section is ignored.
     pub max_age: Millis,
-    /// The most links that a section crosses.
+    /// The maximum number of links that a section crosses.
     pub max_hops: u8,
-    /// The most origins that are kept.
+    /// The maximum number of origins that are retained.
     pub max_origins: usize,
-    /// How long anything is kept of an origin that is not announced.
+    /// How long the section of an origin that is not announced is retained.
     pub retention: Millis,
 }
 
-/// `ReceivedSection` is a section as it was heard.
+/// `ReceivedSection` is a section with its age and the time of its receipt.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedSection<T> {
-    /// Its number among the origin's sections of this kind.
+    /// The section's number among the origin's sections of this kind.
     pub version: u64,
-    /// When it was heard, on the own clock.
+    /// When the section was received, on this instance's clock.
     pub received_at: Millis,
-    /// How old it was then.
+    /// How old the section was when it was received.
     pub age: Millis,
-    /// The section.
+    /// The section's content.
     pub body: Arc<T>,
 }
 
@@ -44,14 +44,14 @@
 
 #[derive(Clone, Debug)]
 struct Entry<T> {
-    heard: ReceivedSection<T>,
+    received: ReceivedSection<T>,
     hops: u8,
-    // An aged section stays as a mark: without it, an older one that arrives late would be taken
-    // for news, because its age on the wire leaves out the time that it was under way.
-    aged: bool,
+    // An expired section stays as a marker. Without it, an older section that arrives late would be
+    // accepted as new, because its age on the wire excludes the time in transit.
+    expired: bool,
 }
 
-/// `LatestSections` holds the newest section of one kind by each instance.
+/// `LatestSections` holds the newest section of one kind from each instance.
 #[derive(Debug)]
 pub struct LatestSections<T> {
     bounds: SectionBounds,
@@ -59,81 +59,83 @@
 }
 
 impl<T: Section> LatestSections<T> {
-    /// Makes one without a section.
+    /// Creates an empty collection.
     pub fn new(bounds: SectionBounds) -> Self {
         Self { bounds, entries: BTreeMap::new() }
     }
 
-    /// Changes the most links that a section crosses.
+    /// Sets the maximum number of links that a section crosses.
     pub fn set_max_hops(&mut self, max_hops: u8) {
         self.bounds.max_hops = max_hops;
     }
 
-    /// Writes an instance's own section under the next number.
+    /// Stores an instance's own section under the next number.
     pub fn write(&mut self, origin: &InstanceName, body: T, now: Millis) {
         let version = self.version(origin) + 1;
-        let heard =
+        let received =
             ReceivedSection { version, received_at: now, age: Millis::ZERO, body: Arc::new(body) };
-        self.entries.insert(origin.clone(), Entry { heard, hops: 0, aged: false });
+        self.entries.insert(origin.clone(), Entry { received, hops: 0, expired: false });
     }
 
-    /// Returns the highest number seen from an origin, or zero.
+    /// Returns the highest number seen from an origin, or zero if there is none.
     pub fn version(&self, origin: &InstanceName) -> u64 {
-        self.entries.get(origin).map_or(0, |entry| entry.heard.version)
+        self.entries.get(origin).map_or(0, |entry| entry.received.version)
     }
 
-    /// Merges a section and returns whether it was news.
+    /// Merges a section and returns whether it was new.
     pub fn merge(
         &mut self,
         item: &Item<T>,
         announced: &BTreeSet<InstanceName>,
         now: Millis,
     ) -> bool {
-        let is_stray = !announced.contains(&item.origin) && item.age > self.bounds.retention;
-        if item.age > self.bounds.max_age || item.hops > self.bounds.max_hops || is_stray {
+        let is_orphaned = !announced.contains(&item.origin) && item.age > self.bounds.retention;
+        if item.age > self.bounds.max_age || item.hops > self.bounds.max_hops || is_orphaned {
             return false;
         }
         if let Some(entry) = self.entries.get_mut(&item.origin) {
-            // A shorter way of the same section lets it go further on.
-            if entry.heard.version == item.version {
+            // A copy that arrived over fewer links can be relayed further.
+            if entry.received.version == item.version {
                 entry.hops = entry.hops.min(item.hops);
             }
-            if entry.heard.version >= item.version {
+            if entry.received.version >= item.version {
                 return false;
             }
         } else if self.entries.len() >= self.bounds.max_origins {
             return false;
         }
-        let heard = ReceivedSection {
+        let received = ReceivedSection {
             version: item.version,
             received_at: now,
             age: item.age,
             body: Arc::clone(&item.body),
         };
-        self.entries.insert(item.origin.clone(), Entry { heard, hops: item.hops, aged: false });
+        self.entries
+            .insert(item.origin.clone(), Entry { received, hops: item.hops, expired: false });
         true
     }
 
-    /// Ages sections out, forgets origins long gone, and returns whether that changed anything that
-    /// counts.
+    /// Expires old sections, removes unannounced origins whose section is older than the retention
+    /// time, and returns whether the set of unexpired sections changed.
     pub fn expire(&mut self, announced: &BTreeSet<InstanceName>, now: Millis) -> bool {
         let bounds = self.bounds;
         let mut changed = false;
         for entry in self.entries.values_mut() {
-            if !entry.aged && entry.heard.age_at(now) > bounds.max_age {
-                entry.aged = true;
+            if !entry.expired && entry.received.age_at(now) > bounds.max_age {
+                entry.expired = true;
                 changed = true;
             }
         }
         self.entries.retain(|origin, entry| {
-            let keep = announced.contains(origin) || entry.heard.age_at(now) <= bounds.retention;
-            changed |= !keep && !entry.aged;
-            keep
+            let is_retained =
+                announced.contains(origin) || entry.received.age_at(now) <= bounds.retention;
+            changed |= !is_retained && !entry.expired;
+            is_retained
         });
         changed
     }
 
-    /// Returns the sections to tell a partner who knows the given numbers.
+    /// Returns the sections to send to a partner that has the given numbers.
     pub fn updates_for<'a>(
         &'a self,
         known: &'a BTreeMap<InstanceName, u64>,
@@ -141,21 +143,21 @@
     ) -> impl Iterator<Item = Item<T>> + 'a {
         let max_hops = self.bounds.max_hops;
         let fresh = self.entries.iter().filter(move |(origin, entry)| {
-            let is_known = known.get(*origin).is_some_and(|v| *v >= entry.heard.version);
-            !entry.aged && entry.hops < max_hops && !is_known
+            let is_known = known.get(*origin).is_some_and(|v| *v >= entry.received.version);
+            !entry.expired && entry.hops < max_hops && !is_known
         });
         fresh.map(move |(origin, entry)| Item {
             origin: origin.clone(),
-            version: entry.heard.version,
-            age: entry.heard.age_at(now),
+            version: entry.received.version,
+            age: entry.received.age_at(now),
             hops: entry.hops + 1,
-            body: Arc::clone(&entry.heard.body),
+            body: Arc::clone(&entry.received.body),
         })
     }
 
-    /// Returns the sections of all instances but one that have not aged.
+    /// Returns the unexpired sections of all instances except `me`.
     pub fn from_others(&self, me: &InstanceName) -> BTreeMap<InstanceName, ReceivedSection<T>> {
-        let others = self.entries.iter().filter(|(origin, entry)| *origin != me && !entry.aged);
-        others.map(|(origin, entry)| (origin.clone(), entry.heard.clone())).collect()
+        let others = self.entries.iter().filter(|(origin, entry)| *origin != me && !entry.expired);
+        others.map(|(origin, entry)| (origin.clone(), entry.received.clone())).collect()
     }
 }
--- a/crates/anvilhook-peer/src/gossip/partners.rs
+++ b/crates/anvilhook-peer/src/gossip/partners.rs
@@ -1,9 +1,10 @@
-//! Which instances an instance connects to.
+//! Chooses the partners to which an instance connects.
 //!
-//! All instances are put on a few rings, each in the order of another hash of their names, and each
-//! connects to its successor on every ring. So all have the same number of partners, a join or leave
-//! moves only its neighbours' connections, the graph is connected by each ring alone, and together
-//! the rings form a random regular graph, whose diameter grows with the logarithm of its size.
+//! All instances are placed on a few rings, each ordered by a different hash of their names, and each
+//! instance connects to its successor on every ring. Therefore all instances have the same number of
+//! partners, and a join or leave changes only the connections of its neighbours. Each ring alone
+//! connects the graph, and together the rings form a random regular graph, whose diameter grows with
+//! the logarithm of its size.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +13,11 @@
 
 use crate::options::PeerAddress;
 
-/// `PartnerOptions` says how many partners an instance has.
+/// `PartnerOptions` determines how many partners an instance has.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct PartnerOptions {
-    /// The number of rings: as many partners are connected to, and about as many connect.
+    /// The number of rings. An instance connects to this many partners, and about as many connect to
+    /// it.
     pub rings: u8,
 }
 
@@ -26,41 +28,42 @@
 }
 
 impl PartnerOptions {
-    /// Returns the number of partners in both directions.
+    /// Returns the number of partners in both directions together.
     pub fn degree(&self) -> usize {
         usize::from(self.rings) * 2
     }
 }
 
-/// Chooses the instances that `me` in `zone` connects to among the announced ones. An instance out of reach
-/// is passed over, and the next on the ring takes its place.
+/// Chooses the announced instances to which `me` in `zone` connects. An unreachable instance is
+/// skipped in favour of the next one on the ring.
 pub fn choose_partners(
     me: &InstanceName,
     zone: &ZoneName,
     announced: &[PeerAddress],
-    out_of_reach: &BTreeSet<InstanceName>,
+    unreachable: &BTreeSet<InstanceName>,
     options: &PartnerOptions,
 ) -> Vec<PeerAddress> {
     let others: Vec<&PeerAddress> = announced
         .iter()
-        .filter(|other| other.name != *me && !out_of_reach.contains(&other.name))
+        .filter(|other| other.name != *me && !unreachable.contains(&other.name))
         .collect();
     let mut chosen: Vec<&PeerAddress> = Vec::new();
     for ring in 0..options.rings {
         let candidates = others.iter().filter(|other| !chosen.contains(other)).copied();
         chosen.extend(successor(me, candidates, ring));
     }
-    if let Some(stranger) = missing_zone(me, zone, &others, &chosen, options) {
-        // Partners of the own zone only would leave the zone alone with its news when the last
-        // accepted link from another zone breaks.
+    if let Some(partner) = partner_in_other_zone(me, zone, &others, &chosen, options) {
+        // If all partners were in the own zone, the zone would be isolated when its last accepted
+        // link from another zone breaks.
         chosen.pop();
-        chosen.push(stranger);
+        chosen.push(partner);
     }
     chosen.into_iter().cloned().collect()
 }
 
-/// Returns a partner in another zone if there is one and none has been chosen.
-fn missing_zone<'a>(
+/// Returns a partner in another zone if there is one and none of the chosen partners is in another
+/// zone.
+fn partner_in_other_zone<'a>(
     me: &InstanceName,
     zone: &ZoneName,
     others: &[&'a PeerAddress],
@@ -70,8 +73,8 @@
     if chosen.iter().any(|partner| partner.zone != *zone) {
         return None;
     }
-    let strangers = others.iter().filter(|other| other.zone != *zone).copied();
-    successor(me, strangers, options.rings.saturating_sub(1))
+    let candidates = others.iter().filter(|other| other.zone != *zone).copied();
+    successor(me, candidates, options.rings.saturating_sub(1))
 }
 
 /// Returns the first instance after `me` on a ring.
@@ -80,12 +83,12 @@
     candidates: impl Iterator<Item = &'a PeerAddress>,
     ring: u8,
 ) -> Option<&'a PeerAddress> {
-    let own = place(me, ring);
-    candidates.min_by_key(|other| place(&other.name, ring).wrapping_sub(own))
+    let own = ring_position(me, ring);
+    candidates.min_by_key(|other| ring_position(&other.name, ring).wrapping_sub(own))
 }
 
-/// Returns an instance's place on a ring.
-fn place(name: &InstanceName, ring: u8) -> u64 {
+/// Returns an instance's position on a ring.
+fn ring_position(name: &InstanceName, ring: u8) -> u64 {
     let digest = Sha256::new().chain_update([ring]).chain_update(name.as_str()).finalize();
     let mut buf = [0; 8];
     buf.copy_from_slice(&digest[..8]);
--- a/crates/anvilhook-peer/src/links/connections.rs
+++ b/crates/anvilhook-peer/src/links/connections.rs
@@ -1,4 +1,4 @@
-//! One connection, from its first byte to its end.
+//! Establishes and serves a single connection.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,20 +18,20 @@
 
 use super::hubs::Hub;
 use super::meters::{Meter, Metered};
-use crate::authentication::{Admitted, Gate, call_gate};
+use crate::authentication::{EstablishedLink, Gate, call_gate};
 use crate::codecs;
 use crate::errors::{Error, Result};
 use crate::gossip::{LinkId, Message};
 use crate::peer_capnp::{gate, peer};
 
-/// The bytes of a word in a message.
+/// The size of a message word in bytes.
 const WORD_BYTES: usize = 8;
 
-/// Connects to an instance and opens a link to it. The link's own task goes on by itself.
+/// Connects to an instance and opens a link to it. The returned task serves the link.
 ///
 /// # Errors
 ///
-/// Why no link came to stand.
+/// The reason why no link was established.
 pub(crate) async fn dial<C: Clock>(
     hub: Rc<Hub<C>>,
     address: SocketAddr,
@@ -45,47 +45,51 @@
         let mut rpc_system = RpcSystem::new(Box::new(network), None);
         let gate: gate::Client = rpc_system.bootstrap(Side::Server);
         let driver = Driver::spawn(rpc_system);
-        let admitted = call_gate(&hub, &gate, &expected, &meter).await?;
-        Ok::<_, Error>((driver, admitted))
+        let established = call_gate(&hub, &gate, &expected, &meter).await?;
+        Ok::<_, Error>((driver, established))
     };
-    let (driver, admitted) = timeout(limit, connecting).await.map_err(|_| Error::Silent)??;
-    Ok(tokio::task::spawn_local(run(hub, driver, admitted)))
+    let (driver, established) = timeout(limit, connecting).await.map_err(|_| Error::Timeout)??;
+    Ok(tokio::task::spawn_local(run(hub, driver, established)))
 }
 
-/// Serves an accepted connection until its end.
+/// Authenticates an accepted connection and opens its link.
 ///
 /// # Errors
 ///
-/// Why it ended.
+/// The reason why no link was established.
 pub(crate) async fn accept<C: Clock>(
     hub: Rc<Hub<C>>,
     stream: TcpStream,
-) -> Result<(Driver, Admitted<C>)> {
+) -> Result<(Driver, EstablishedLink<C>)> {
     let meter = Meter::new(&hub.options, hub.received.clone());
     let network = network(&hub, stream, &meter, Side::Server)?;
-    let (tx, admitted) = oneshot::channel();
+    let (tx, established) = oneshot::channel();
     let gate: gate::Client = capnp_rpc::new_client(Gate::new(Rc::clone(&hub), meter, tx));
     let driver = Driver::spawn(RpcSystem::new(Box::new(network), Some(gate.client)));
     let limit = hub.options.connect_timeout.as_duration();
-    let admitted = timeout(limit, admitted).await.map_err(|_| Error::Silent)?;
-    Ok((driver, admitted.map_err(|_| Error::NotAuthentic)?))
+    let established = timeout(limit, established).await.map_err(|_| Error::Timeout)?;
+    Ok((driver, established.map_err(|_| Error::NotAuthentic)?))
 }
 
-/// Carries a link's messages until it ends, and returns why it ended.
-pub(crate) async fn run<C: Clock>(hub: Rc<Hub<C>>, driver: Driver, admitted: Admitted<C>) -> Error {
-    let Admitted { mut opened, partner } = admitted;
-    let link = opened.link;
+/// Sends a link's messages until the link closes, and returns the reason.
+pub(crate) async fn run<C: Clock>(
+    hub: Rc<Hub<C>>,
+    driver: Driver,
+    established: EstablishedLink<C>,
+) -> Error {
+    let EstablishedLink { mut guard, partner } = established;
+    let link = guard.link;
     let limit = hub.options.gossip.answer_timeout;
     let ended = loop {
         tokio::select! {
-            _ = &mut opened.closed => break Error::Unwanted,
-            message = opened.outgoing.recv() => {
+            _ = &mut guard.closed => break Error::LinkRejected,
+            message = guard.outgoing.recv() => {
                 let Some(message) = message else {
-                    break Error::Unwanted;
+                    break Error::LinkRejected;
                 };
-                // A heartbeat is due every second, so a link that has gone silent is noticed by
-                // the one that is not answered.
-                if let Err(err) = carry(&hub, &partner, link, message, limit).await {
+                // A heartbeat is due every second, so a link that stops responding is detected by
+                // the heartbeat that gets no response.
+                if let Err(err) = send(&hub, &partner, link, message, limit).await {
                     break err;
                 }
             }
@@ -95,8 +99,8 @@
     ended
 }
 
-/// Carries one message to the partner, and its answer back to the node.
-async fn carry<C: Clock>(
+/// Sends one message to the partner and passes the response to the node.
+async fn send<C: Clock>(
     hub: &Hub<C>,
     partner: &peer::Client,
     link: LinkId,
@@ -108,28 +112,28 @@
         Message::Update { seq, update } => {
             let mut req = partner.push_request();
             codecs::write_update(&update, req.get().init_update());
-            timeout(limit, req.send().promise).await.map_err(|_| Error::Silent)??;
+            timeout(limit, req.send().promise).await.map_err(|_| Error::Timeout)??;
             hub.receive(link, Message::Confirm { seq })
         }
         Message::Pull { have } => {
             let mut req = partner.configuration_request();
             req.get().set_have(have.0);
-            let answer = timeout(limit, req.send().promise).await.map_err(|_| Error::Silent)??;
+            let answer = timeout(limit, req.send().promise).await.map_err(|_| Error::Timeout)??;
             let transfer = codecs::read_transfer(answer.get()?.get_transfer()?)?;
             hub.receive(link, Message::Transfer(transfer))
         }
-        // The answers of calls stand for these.
+        // The responses to calls replace these messages.
         Message::Confirm { .. } | Message::Transfer(_) => Ok(()),
     }
 }
 
-/// `Driver` keeps a connection going. Dropping it closes the connection.
+/// `Driver` runs a connection's RPC system. Dropping it closes the connection.
 pub(crate) struct Driver(JoinHandle<()>);
 
 impl Driver {
     fn spawn(rpc_system: RpcSystem<Side>) -> Self {
         Self(tokio::task::spawn_local(async move {
-            // The calls under way report the connection's end themselves.
+            // The calls in flight report the failure of the connection.
             let _ = rpc_system.await;
         }))
     }
@@ -152,7 +156,7 @@
     let reader = Metered::new(reader.compat(), Rc::clone(meter));
     let writer = Metered::new(writer.compat_write(), Rc::clone(meter));
     let mut options = ReaderOptions::new();
-    // The library refuses a longer message before it makes room for it.
+    // The library refuses a longer message before it allocates memory for it.
     options.traversal_limit_in_words(Some(hub.options.max_message_bytes / WORD_BYTES));
     Ok(VatNetwork::new(BufReader::new(reader), BufWriter::new(writer), side, options))
 }
--- a/crates/anvilhook-peer/src/links/dialers.rs
+++ b/crates/anvilhook-peer/src/links/dialers.rs
@@ -1,4 +1,4 @@
-//! Keeps connections to the chosen partners.
+//! Maintains connections to the chosen partners.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -14,36 +14,36 @@
 use crate::gossip::choose_partners;
 use crate::options::PeerAddress;
 
-/// `Failure` is what is kept of an instance out of reach.
+/// `Failure` records the failed attempts to reach an instance and the time of the next retry.
 #[derive(Debug)]
 struct Failure {
     count: u32,
-    until: Millis,
+    retry_at: Millis,
 }
 
-/// `Dialer` connects to the chosen partners, and to others while those are out of reach.
+/// `Dialer` connects to the chosen partners, and to other instances while those are unreachable.
 pub(crate) struct Dialer<C, R> {
     hub: Rc<Hub<C>>,
     clock: C,
     rng: R,
     announced: Vec<PeerAddress>,
-    // The last choice, and the instances that were out of reach then.
+    // The instances that were unreachable at the last choice, and the partners chosen.
     chosen: Option<(BTreeSet<InstanceName>, Vec<PeerAddress>)>,
     failures: BTreeMap<InstanceName, Failure>,
     dialing: JoinSet<Attempt>,
     in_progress: BTreeSet<InstanceName>,
 }
 
-/// `Attempt` is how a link came to its end, or that it never stood.
+/// `Attempt` is the outcome of a dialed connection: why its link closed or was never established.
 #[derive(Debug)]
 pub(crate) struct Attempt {
     name: InstanceName,
-    stood_for: Millis,
-    ended: Error,
+    lasted_for: Millis,
+    cause: Error,
 }
 
 impl<C: Clock, R: Rng> Dialer<C, R> {
-    /// Makes a dialer without partners.
+    /// Creates a dialer without partners.
     pub(crate) fn new(hub: Rc<Hub<C>>, clock: C, rng: R) -> Self {
         Self {
             hub,
@@ -65,7 +65,7 @@
         self.dial_missing();
     }
 
-    /// Waits for the end of an attempt; forever if there is none.
+    /// Waits until an attempt ends, or forever if there is none.
     pub(crate) async fn next_ended(&mut self) -> Result<Attempt, JoinError> {
         match self.dialing.join_next().await {
             Some(ended) => ended,
@@ -73,38 +73,43 @@
         }
     }
 
-    /// Takes the end of an attempt.
-    pub(crate) fn take_ended(&mut self, ended: Result<Attempt, JoinError>) {
+    /// Records the outcome of an attempt and schedules the next retry.
+    pub(crate) fn record_ended(&mut self, ended: Result<Attempt, JoinError>) {
         let Ok(attempt) = ended else {
             return;
         };
         self.in_progress.remove(&attempt.name);
-        log::debug!(peer = attempt.name.as_str(); "peer link ended: {}", attempt.ended);
+        log::debug!(peer = attempt.name.as_str(); "peer link closed: {}", attempt.cause);
         if self.hub.linked().contains_key(&attempt.name) {
             return;
         }
         let options = &self.hub.options;
-        let failure =
-            self.failures.entry(attempt.name).or_insert(Failure { count: 0, until: Millis::ZERO });
-        // A link that stood for a while says that the instance can be reached.
-        failure.count = if attempt.stood_for > options.max_backoff { 1 } else { failure.count + 1 };
+        let failure = self
+            .failures
+            .entry(attempt.name)
+            .or_insert(Failure { count: 0, retry_at: Millis::ZERO });
+        // A link that lasted for a while shows that the instance is reachable.
+        failure.count =
+            if attempt.lasted_for > options.max_backoff { 1 } else { failure.count + 1 };
         let doubled = options.backoff.0 << (failure.count - 1).min(16);
         let longest = doubled.min(options.max_backoff.0).max(1);
-        // Instances that lost one partner at the same moment must not all come back at once.
+        // The wait is random, so that instances that lost the same partner at the same moment do not
+        // all reconnect at once.
         let wait = self.rng.random_range(longest / 2..=longest);
-        failure.until = self.clock.now() + Millis(wait);
+        failure.retry_at = self.clock.now() + Millis(wait);
     }
 
-    /// Connects to the chosen partners that no link stands to, and closes what is no longer needed.
+    /// Connects to the chosen partners without a link. If none is missing, closes the links that are
+    /// no longer needed.
     pub(crate) fn dial_missing(&mut self) {
         let now = self.clock.now();
-        let out_of_reach: BTreeSet<InstanceName> = self
+        let unreachable: BTreeSet<InstanceName> = self
             .failures
             .iter()
-            .filter(|(_, failure)| failure.until > now)
+            .filter(|(_, failure)| failure.retry_at > now)
             .map(|(name, _)| name.clone())
             .collect();
-        let wanted = self.choose(out_of_reach);
+        let wanted = self.choose(unreachable);
         let linked = self.hub.linked();
         let missing: Vec<&PeerAddress> =
             wanted.iter().filter(|peer| !linked.contains_key(&peer.name)).collect();
@@ -119,20 +124,21 @@
         }
     }
 
-    fn choose(&mut self, out_of_reach: BTreeSet<InstanceName>) -> Vec<PeerAddress> {
-        if let Some((_, chosen)) = self.chosen.as_ref().filter(|(then, _)| *then == out_of_reach) {
+    fn choose(&mut self, unreachable: BTreeSet<InstanceName>) -> Vec<PeerAddress> {
+        if let Some((_, chosen)) = self.chosen.as_ref().filter(|(then, _)| *then == unreachable) {
             return chosen.clone();
         }
         let options = &self.hub.options;
         let (me, zone) = (&options.name, &options.zone);
         let partners = &options.gossip.partners;
-        let chosen = choose_partners(me, zone, &self.announced, &out_of_reach, partners);
-        self.chosen = Some((out_of_reach, chosen.clone()));
+        let chosen = choose_partners(me, zone, &self.announced, &unreachable, partners);
+        self.chosen = Some((unreachable, chosen.clone()));
         chosen
     }
 
-    /// Closes the links that this instance made to others than the wanted. They are kept until all
-    /// wanted ones stand, so that a partner's replacement serves until the partner is back.
+    /// Closes the links that this instance dialed to instances other than the wanted ones. They stay
+    /// open until all wanted links are established, so that a partner's replacement serves until the
+    /// partner is reachable again.
     fn close_unwanted(&self, wanted: &[PeerAddress]) {
         for (name, (link, direction)) in self.hub.linked() {
             let is_wanted = wanted.iter().any(|peer| peer.name == name);
@@ -143,13 +149,13 @@
     }
 }
 
-/// Makes one link and stays with it to its end.
+/// Dials one link and waits until it closes.
 async fn attempt<C: Clock>(hub: Rc<Hub<C>>, peer: PeerAddress, clock: C) -> Attempt {
     let PeerAddress { name, address, .. } = peer;
     let started_at = clock.now();
-    let ended = match connections::dial(hub, address, name.clone()).await {
+    let cause = match connections::dial(hub, address, name.clone()).await {
         Ok(running) => running.await.unwrap_or_else(Error::broken),
         Err(err) => err,
     };
-    Attempt { name, stood_for: clock.now() - started_at, ended }
+    Attempt { name, lasted_for: clock.now() - started_at, cause }
 }
--- a/crates/anvilhook-peer/src/links/hubs.rs
+++ b/crates/anvilhook-peer/src/links/hubs.rs
@@ -1,4 +1,4 @@
-//! What all connections of one instance share, on the link's thread.
+//! The state that all connections of one instance share on the link's thread.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,31 +15,31 @@
 use crate::handles::{PeerView, Received};
 use crate::options::{PeerAddress, PeerOptions};
 
-/// The messages that may wait on a link. A node sends one update and one pull at a time; what does
-/// not fit is lost, and the node sends it again.
+/// The maximum number of messages queued on a link. A node sends one update and one pull at a time.
+/// A message that does not fit is lost, and the node resends it.
 const LINK_QUEUE: usize = 8;
 
-/// `Direction` says which end connected.
+/// `Direction` indicates which end opened the connection.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(crate) enum Direction {
-    /// This instance did.
+    /// This instance connected.
     Dialed,
-    /// The other did.
+    /// The other instance connected.
     Accepted,
 }
 
-/// `Opened` is what a connection's task holds of its link. Dropping it closes the link, so that no
-/// link stands without a task, whenever that is cancelled.
+/// `LinkGuard` ties a link to the task of its connection. Dropping it closes the link, so that no link
+/// stays open after its task is cancelled.
 #[derive(Debug)]
-pub(crate) struct Opened<C: Clock> {
+pub(crate) struct LinkGuard<C: Clock> {
     hub: Rc<Hub<C>>,
     pub(crate) link: LinkId,
     pub(crate) outgoing: mpsc::Receiver<Message>,
-    /// Ends when the link is to be closed.
+    /// Completes when the link is to be closed.
     pub(crate) closed: oneshot::Receiver<()>,
 }
 
-impl<C: Clock> Drop for Opened<C> {
+impl<C: Clock> Drop for LinkGuard<C> {
     fn drop(&mut self) {
         self.hub.close(self.link);
     }
@@ -59,7 +59,7 @@
 
 impl Transport for Links {
     fn send(&mut self, link: LinkId, message: Message) {
-        // The answer of a call is the confirmation.
+        // The response to a call serves as the confirmation.
         if matches!(message, Message::Confirm { .. }) {
             return;
         }
@@ -77,7 +77,7 @@
     links_changed: bool,
 }
 
-/// `Hub` connects the pure node with the connections and with the handle.
+/// `Hub` connects the gossip node with the connections and the handle.
 #[derive(Debug)]
 pub(crate) struct Hub<C> {
     pub(crate) options: PeerOptions,
@@ -87,43 +87,45 @@
 }
 
 impl<C: Clock> Hub<C> {
-    /// Makes a hub without connections.
+    /// Creates a hub without connections.
     pub(crate) fn new(options: PeerOptions, received: Arc<Received>, clock: C) -> Rc<Self> {
         let node = GossipNode::new(options.name.clone(), options.gossip);
         let state = State { node, links: Links::default(), last_link: 0, links_changed: false };
         Rc::new(Self { options, received, clock, state: RefCell::new(state) })
     }
 
-    /// Opens a link to an instance that has proved itself.
+    /// Opens a link to an authenticated instance.
     ///
-    /// Two instances may connect to each other at the same time. Both keep the connection that the
-    /// smaller name made, so that they do not close one each.
+    /// Two instances may connect to each other at the same time. Both retain the connection that the
+    /// instance with the smaller name opened. Otherwise each could close a different connection, and
+    /// none would remain.
     ///
     /// # Errors
     ///
-    /// `Error::Unwanted` if another link to it stands or all places are taken.
+    /// `Error::LinkRejected` if another link to the instance is preferred or the limit on links is
+    /// reached.
     pub(crate) fn open(
         self: &Rc<Self>,
         name: InstanceName,
         direction: Direction,
-    ) -> Result<Opened<C>> {
+    ) -> Result<LinkGuard<C>> {
         let mut state = self.state.borrow_mut();
-        let standing = state.links.0.iter().find(|(_, entry)| entry.name == name);
-        if let Some((&link, entry)) = standing {
-            let mine_first = self.options.name < name;
+        let existing = state.links.0.iter().find(|(_, entry)| entry.name == name);
+        if let Some((&link, entry)) = existing {
+            let own_name_first = self.options.name < name;
             let wanted = match (entry.direction, direction) {
-                (Direction::Dialed, Direction::Accepted) => !mine_first,
-                (Direction::Accepted, Direction::Dialed) => mine_first,
-                // The other side has given the standing one up.
+                (Direction::Dialed, Direction::Accepted) => !own_name_first,
+                (Direction::Accepted, Direction::Dialed) => own_name_first,
+                // The other side has abandoned the existing link.
                 (Direction::Accepted, Direction::Accepted) => true,
                 (Direction::Dialed, Direction::Dialed) => false,
             };
             if !wanted {
-                return Err(Error::Unwanted);
+                return Err(Error::LinkRejected);
             }
             self.remove(&mut state, link);
         } else if state.links.0.len() >= self.options.max_links {
-            return Err(Error::Unwanted);
+            return Err(Error::LinkRejected);
         }
         state.last_link += 1;
         let link = LinkId(state.last_link);
@@ -134,58 +136,58 @@
         state.links_changed = true;
         state.node.connect(link);
         self.received.counters.links_opened.fetch_add(1, Ordering::Relaxed);
-        Ok(Opened { hub: Rc::clone(self), link, outgoing, closed })
+        Ok(LinkGuard { hub: Rc::clone(self), link, outgoing, closed })
     }
 
-    /// Closes a link, if it still stands.
+    /// Closes a link if it is still open.
     pub(crate) fn close(&self, link: LinkId) {
         self.remove(&mut self.state.borrow_mut(), link);
     }
 
-    /// Returns the instances that links stand to, with the links that this instance made.
+    /// Returns the instances with an open link, with the link and its direction.
     pub(crate) fn linked(&self) -> BTreeMap<InstanceName, (LinkId, Direction)> {
         let state = self.state.borrow();
         let entries = state.links.0.iter();
         entries.map(|(link, entry)| (entry.name.clone(), (*link, entry.direction))).collect()
     }
 
-    /// Takes a message from a partner.
+    /// Passes a message from a partner to the node and publishes the changes.
     ///
     /// # Errors
     ///
-    /// `Error::Unwanted` if the link has been closed meanwhile; what the node returns otherwise.
+    /// `Error::LinkRejected` if the link has been closed meanwhile; otherwise any error of the node.
     pub(crate) fn receive(&self, link: LinkId, message: Message) -> Result<()> {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
         let State { node, links, .. } = &mut *state;
         if !links.0.contains_key(&link) {
-            return Err(Error::Unwanted);
+            return Err(Error::LinkRejected);
         }
         node.receive(link, message, now, links)?;
         drop(state);
-        self.publish_news();
+        self.publish_changes();
         Ok(())
     }
 
-    /// Answers a partner's pull.
+    /// Returns the transfer that answers a partner's pull, or `None` if the partner is up to date.
     ///
     /// # Errors
     ///
-    /// `Error::Unwanted` if the link has been closed meanwhile; what the node returns otherwise.
+    /// `Error::LinkRejected` if the link has been closed meanwhile; otherwise any error of the node.
     pub(crate) fn answer_pull(&self, link: LinkId, have: Revision) -> Result<Option<Transfer>> {
         let mut state = self.state.borrow_mut();
         if !state.links.0.contains_key(&link) {
-            return Err(Error::Unwanted);
+            return Err(Error::LinkRejected);
         }
         state.node.answer_pull(have)
     }
 
-    /// Sends what is due and publishes what has changed.
+    /// Runs the node's pending work and publishes the changes.
     pub(crate) fn tick(&self) {
         self.with_node(|_| ());
     }
 
-    /// Changes the node and sends what has become due.
+    /// Changes the node, runs its pending work and publishes the changes.
     pub(crate) fn with_node(&self, change: impl FnOnce(&mut GossipNode)) {
         let now = self.clock.now();
         let mut state = self.state.borrow_mut();
@@ -193,7 +195,7 @@
         change(node);
         node.tick(now, links);
         drop(state);
-        self.publish_news();
+        self.publish_changes();
     }
 
     /// Sets the announced instances.
@@ -217,31 +219,31 @@
         }
     }
 
-    fn publish_news(&self) {
+    fn publish_changes(&self) {
         let mut state = self.state.borrow_mut();
-        let news = state.node.take_changes();
+        let changes = state.node.take_changes();
         let links_changed = std::mem::take(&mut state.links_changed);
-        if news.configuration {
+        if changes.configuration {
             self.received.configuration.send_replace(state.node.configuration().cloned());
         }
-        if !(news.acks || news.load || news.demand || links_changed) {
+        if !(changes.acks || changes.load || changes.demand || links_changed) {
             return;
         }
-        let mut next = PeerView::clone(&self.received.news.load());
-        if news.acks {
+        let mut next = PeerView::clone(&self.received.view.load());
+        if changes.acks {
             next.acks = Arc::new(state.node.acks());
         }
-        if news.load {
+        if changes.load {
             next.load = Arc::new(state.node.load());
         }
-        if news.demand {
+        if changes.demand {
             next.demand = Arc::new(state.node.demand());
         }
         if links_changed {
             let names = state.links.0.values().map(|entry| entry.name.clone());
             next.linked = Arc::new(names.collect());
         }
-        self.received.news.store(Arc::new(next));
+        self.received.view.store(Arc::new(next));
         self.received.changes.send_modify(|number| *number += 1);
     }
 }
--- a/crates/anvilhook-peer/src/links/mod.rs
+++ b/crates/anvilhook-peer/src/links/mod.rs
@@ -1,4 +1,5 @@
-//! The link over capnp-rpc. The library's futures stay on one thread, so the link has one of its own.
+//! Runs the link over capnp-rpc. The library's futures are bound to one thread, so the link has a
+//! separate thread.
 
 pub(crate) mod connections;
 pub(crate) mod dialers;
@@ -28,23 +29,23 @@
 use dialers::Dialer;
 use hubs::Hub;
 
-/// How often the link looks for what is due.
+/// How often the link checks for pending work.
 const TICK: Duration = Duration::from_millis(50);
 
-/// How often the link looks for partners that are missing.
+/// How often the link checks for missing partners.
 const DIAL_TICK: Duration = Duration::from_millis(200);
 
 /// How long the link waits after the system failed to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(100);
 
-/// `PeerLink` starts an instance's link to the others.
+/// `PeerLink` starts an instance's link to the other instances.
 #[derive(Debug)]
 pub struct PeerLink;
 
 impl PeerLink {
-    /// Starts the link on a thread of its own.
+    /// Starts the link on a separate thread.
     ///
-    /// `announced` are the instances known at the start, from the platform's list or the settings;
+    /// `announced` holds the instances known at the start, from the instance list or the settings.
     /// `PeerHandle::set_announced` replaces them.
     ///
     /// # Errors
@@ -67,7 +68,7 @@
         });
         let received = Arc::new(Received {
             configuration: watch::Sender::new(None),
-            news: ArcSwap::from_pointee(PeerView::default()),
+            view: ArcSwap::from_pointee(PeerView::default()),
             changes: watch::Sender::new(0),
             counters: Counters::default(),
         });
@@ -85,7 +86,7 @@
                 let main = run(hub, listener, inputs, clock);
                 let ended = LocalSet::new().block_on(&runtime, main);
                 if let Err(err) = ended {
-                    log::error!("peer link ended: {err}");
+                    log::error!("peer link failed: {err}");
                 }
             })
             .map_err(Error::start)?;
@@ -93,7 +94,8 @@
     }
 }
 
-/// `Inputs` is what comes from the handle. The channels close when the last handle is dropped.
+/// `Inputs` receives the values published by the handle. The channels close when the last handle is
+/// dropped.
 struct Inputs {
     configuration: watch::Receiver<Option<Arc<anvilhook_core::resources::Configuration>>>,
     acks: watch::Receiver<AckSection>,
@@ -127,7 +129,7 @@
     let mut dialer = Dialer::new(Rc::clone(&hub), clock, rng);
     // The instances known at the start count as a change.
     inputs.announced.mark_changed();
-    let unproved = Arc::new(Semaphore::new(hub.options.max_unproved));
+    let unauthenticated = Arc::new(Semaphore::new(hub.options.max_unauthenticated));
     let mut tick = interval(TICK);
     let mut dial_tick = interval(DIAL_TICK);
     tick.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -170,14 +172,14 @@
             }
             accepted = listener.accept() => {
                 match accepted {
-                    Ok((stream, _address)) => serve(&hub, stream, &unproved),
-                    // The system is short of something; asking again at once would only spin.
+                    Ok((stream, _address)) => serve(&hub, stream, &unauthenticated),
+                    // The system has run out of a resource, so an immediate retry would only spin.
                     Err(_) => tokio::time::sleep(ACCEPT_PAUSE).await,
                 }
                 Ok(())
             }
             ended = dialer.next_ended() => {
-                dialer.take_ended(ended);
+                dialer.record_ended(ended);
                 Ok(())
             }
             _ = tick.tick() => {
@@ -190,15 +192,15 @@
             }
         };
         if changed.is_err() {
-            // The last handle is gone.
+            // The last handle was dropped.
             return Ok(());
         }
     }
 }
 
-/// Serves a connection on a task of its own, if not too many are unproved.
-fn serve<C: Clock>(hub: &Rc<Hub<C>>, stream: TcpStream, unproved: &Arc<Semaphore>) {
-    let Ok(permit) = Arc::clone(unproved).try_acquire_owned() else {
+/// Serves a connection in a separate task, unless too many connections are unauthenticated.
+fn serve<C: Clock>(hub: &Rc<Hub<C>>, stream: TcpStream, unauthenticated: &Arc<Semaphore>) {
+    let Ok(permit) = Arc::clone(unauthenticated).try_acquire_owned() else {
         return;
     };
     let hub = Rc::clone(hub);
@@ -206,9 +208,9 @@
         let accepted = connections::accept(Rc::clone(&hub), stream).await;
         drop(permit);
         match accepted {
-            Ok((driver, admitted)) => {
-                let ended = connections::run(hub, driver, admitted).await;
-                log::debug!("accepted peer link ended: {ended}");
+            Ok((driver, established)) => {
+                let ended = connections::run(hub, driver, established).await;
+                log::debug!("accepted peer link closed: {ended}");
             }
             Err(err) => log::debug!("peer connection refused: {err}"),
         }
--- a/crates/anvilhook-peer/tests/gossip.rs
+++ b/crates/anvilhook-peer/tests/gossip.rs
@@ -1,4 +1,5 @@
-//! What is merged while all messages are dropped, delayed, repeated and reordered.
+//! Tests of the gossip node over a simulated network that drops, delays, repeats and reorders
+//! messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -18,17 +19,17 @@
 const STEP: Millis = Millis(50);
 const MAX_DELAY: Millis = Millis(4_000);
 
-/// `Faults` says what happens to messages, as probabilities.
+/// `Faults` holds the probabilities of network faults.
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
     drop: f64,
     delay: f64,
     repeat: f64,
-    /// That a link is given up and made anew, in a step.
+    /// The probability that a step replaces one link with a new one.
     reconnect: f64,
 }
 
-/// `Outbox` collects what a node sends.
+/// `Outbox` collects the messages that a node sends.
 #[derive(Default)]
 struct Outbox(Vec<(LinkId, Message)>);
 
@@ -38,23 +39,24 @@
     }
 }
 
-struct Letter {
+struct Delivery {
     due: Millis,
     to: usize,
     link: LinkId,
     message: Message,
 }
 
-/// `Truth` is what has really been written.
+/// `Written` holds the newest values that have actually been written.
 #[derive(Default)]
-struct Truth {
+struct Written {
     revision: u64,
     generations: [u64; NODES],
     terms: [u64; NODES],
     loads: u32,
 }
 
-/// `Seen` is the highest that a node has seen: the revision, and generations and terms by origin.
+/// `Seen` holds the highest revision that a node has seen, and the highest generation and term by
+/// origin.
 #[derive(Clone, Default)]
 struct Seen {
     revision: Revision,
@@ -64,11 +66,11 @@
 struct Network {
     nodes: Vec<GossipNode>,
     links: BTreeMap<LinkId, (usize, usize)>,
-    letters: Vec<Letter>,
+    deliveries: Vec<Delivery>,
     rng: ChaCha8Rng,
     now: Millis,
     last_link: u64,
-    truth: Truth,
+    written: Written,
     seen: Vec<Seen>,
 }
 
@@ -84,7 +86,7 @@
     "engine-1".parse().unwrap()
 }
 
-/// Makes a configuration of its revision that has other resources than the one before.
+/// Creates the configuration of a revision, whose resources differ from those of the previous one.
 fn configuration(revision: u64) -> Configuration {
     let resource = |number: u64| Resource {
         name: format!("account-{number}").parse().unwrap(),
@@ -100,7 +102,7 @@
 }
 
 impl Network {
-    /// Connects nine nodes on a ring with chords.
+    /// Creates a network whose nodes are connected in a ring with chords.
     fn new(seed: u64) -> Self {
         let all: BTreeSet<InstanceName> = (0..NODES).map(name).collect();
         let node = |at: usize| {
@@ -111,11 +113,11 @@
         let mut network = Self {
             nodes: (0..NODES).map(node).collect(),
             links: BTreeMap::new(),
-            letters: Vec::new(),
+            deliveries: Vec::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
             now: Millis::ZERO,
             last_link: 0,
-            truth: Truth::default(),
+            written: Written::default(),
             seen: vec![Seen::default(); NODES],
         };
         for at in 0..NODES {
@@ -133,7 +135,7 @@
         self.nodes[b].connect(link);
     }
 
-    fn post(&mut self, from: usize, outbox: Outbox, faults: &Faults) {
+    fn enqueue(&mut self, from: usize, outbox: Outbox, faults: &Faults) {
         for (link, message) in outbox.0 {
             let Some(&(a, b)) = self.links.get(&link) else {
                 continue;
@@ -147,7 +149,7 @@
                 let is_late = self.rng.random_bool(faults.delay);
                 let delay = if is_late { self.rng.random_range(0..MAX_DELAY.0) } else { 1 };
                 let due = self.now + Millis(delay);
-                self.letters.push(Letter { due, to, link, message: message.clone() });
+                self.deliveries.push(Delivery { due, to, link, message: message.clone() });
             }
         }
     }
@@ -163,17 +165,18 @@
             self.connect(a, b);
         }
         let now = self.now;
-        let due: Vec<Letter> = self.letters.extract_if(.., |letter| letter.due <= now).collect();
-        for Letter { to, link, message, .. } in due {
+        let due: Vec<Delivery> =
+            self.deliveries.extract_if(.., |delivery| delivery.due <= now).collect();
+        for Delivery { to, link, message, .. } in due {
             let mut outbox = Outbox::default();
             self.nodes[to].receive(link, message, now, &mut outbox).unwrap();
-            self.post(to, outbox, faults);
+            self.enqueue(to, outbox, faults);
             self.check(to);
         }
         for at in 0..NODES {
             let mut outbox = Outbox::default();
             self.nodes[at].tick(now, &mut outbox);
-            self.post(at, outbox, faults);
+            self.enqueue(at, outbox, faults);
             self.check(at);
         }
     }
@@ -183,65 +186,65 @@
         let at = self.rng.random_range(0..NODES);
         match self.rng.random_range(0..5) {
             0 => {
-                // A follower that lags hands on what has long been replaced.
-                let old = Arc::new(configuration(self.truth.revision / 2));
+                // A lagging follower publishes a configuration that has long been replaced.
+                let old = Arc::new(configuration(self.written.revision / 2));
                 self.nodes[at].offer_configuration(old);
             }
             1 => {
-                self.truth.revision += 1;
-                let newest = Arc::new(configuration(self.truth.revision));
+                self.written.revision += 1;
+                let newest = Arc::new(configuration(self.written.revision));
                 self.nodes[at].offer_configuration(newest);
             }
             2 => self.write_acks(at),
             _ => {
-                self.truth.loads += 1;
-                self.nodes[at].write_load(load(self.truth.loads));
+                self.written.loads += 1;
+                self.nodes[at].write_load(load(self.written.loads));
             }
         }
     }
 
     fn write_acks(&mut self, at: usize) {
-        self.truth.generations[at] += self.rng.random_range(1..3);
-        self.truth.terms[at] += 1;
+        self.written.generations[at] += self.rng.random_range(1..3);
+        self.written.terms[at] += 1;
         let section = AckSection {
             drains: vec![DrainAck {
                 pool: "pool-a".parse().unwrap(),
                 engine: engine(),
-                generation: self.truth.generations[at],
+                generation: self.written.generations[at],
             }],
             terms: vec![TermAck {
                 pool: "pool-a".parse().unwrap(),
-                term: Term(self.truth.terms[at]),
+                term: Term(self.written.terms[at]),
                 holder: name(at),
             }],
         };
         self.nodes[at].write_acks(section, self.now);
     }
 
-    /// Checks that a node's knowledge has not gone backwards and holds nothing that was not written.
+    /// Checks that a node's state has not reverted and contains only values that were written.
     fn check(&mut self, at: usize) {
         let node = &self.nodes[at];
         let Seen { revision, acks } = &mut self.seen[at];
         let newest = node.configuration().map_or(Revision(0), |newest| newest.revision());
-        assert!(newest >= *revision, "{at}: the configuration went back to {newest}");
-        assert!(newest.0 <= self.truth.revision);
+        assert!(newest >= *revision, "{at}: the configuration reverted to {newest}");
+        assert!(newest.0 <= self.written.revision);
         if newest > *revision {
             assert_eq!(**node.configuration().unwrap(), configuration(newest.0));
         }
         *revision = newest;
-        for (origin, heard) in node.acks() {
-            let generation = heard.body.drains[0].generation;
-            let term = heard.body.term(&"pool-a".parse().unwrap()).unwrap().0;
+        for (origin, received) in node.acks() {
+            let generation = received.body.drains[0].generation;
+            let term = received.body.term(&"pool-a".parse().unwrap()).unwrap().0;
             let last = acks.entry(origin.clone()).or_default();
-            assert!((generation, term) >= *last, "{at}: {origin}'s acknowledgement went back");
-            assert!(generation <= self.truth.generations[index(&origin)]);
-            assert!(heard.body.has_drained(&engine(), generation));
-            assert!(!heard.body.has_drained(&engine(), generation + 1));
+            assert!((generation, term) >= *last, "{at}: {origin}'s acknowledgement reverted");
+            assert!(generation <= self.written.generations[index(&origin)]);
+            assert!(received.body.has_drained(&engine(), generation));
+            assert!(!received.body.has_drained(&engine(), generation + 1));
             *last = (generation, term);
         }
         let options = GossipOptions::default();
         let loads = node.load();
-        assert!(loads.values().all(|heard| heard.age_at(self.now) <= options.load_max_age));
+        assert!(loads.values().all(|received| received.age_at(self.now) <= options.load_max_age));
     }
 }
 
@@ -260,12 +263,11 @@
 }
 
 #[test]
-fn verify_nothing_goes_backwards_whatever_happens_to_messages() {
-    // Symptom: an instance serves an older configuration, or an order is given on an old
-    // acknowledgement.
-    // Sequence: updates, confirmations, pulls and transfers are dropped, delayed up to 4 s, repeated
-    // and overtaken by later ones, and links are made anew in between.
-    // Cause: news that is merged by its arrival instead of by its number.
+fn verify_faulty_delivery_never_reverts_state() {
+    // Guards against an instance that reverts to an older configuration, and an order that is given
+    // because of an outdated acknowledgement. Updates, confirmations, pulls and transfers are
+    // dropped, delayed by up to 4 s, repeated and reordered, and links are replaced meanwhile. The
+    // failure occurs if updates are merged in order of arrival instead of by their numbers.
     let none = Faults::default();
     let all = Faults { drop: 0.3, delay: 0.3, repeat: 0.2, reconnect: 0.02 };
     let cases = [
@@ -295,16 +297,16 @@
                 network.step(&none);
             }
 
-            // Assert: once messages pass again, all know the same.
+            // Assert: once messages are delivered again, all nodes converge.
             for node in &network.nodes {
                 let newest = node.configuration().unwrap();
-                assert_eq!(newest.revision().0, network.truth.revision, "{case} {seed}");
-                for (origin, heard) in node.acks() {
-                    let generation = network.truth.generations[index(&origin)];
-                    assert!(heard.body.has_drained(&engine(), generation), "{case} {seed}");
+                assert_eq!(newest.revision().0, network.written.revision, "{case} {seed}");
+                for (origin, received) in node.acks() {
+                    let generation = network.written.generations[index(&origin)];
+                    assert!(received.body.has_drained(&engine(), generation), "{case} {seed}");
                 }
                 assert_eq!(node.acks().len(), NODES - 1, "{case} {seed}");
-                // The load that was written before has aged out everywhere.
+                // All load sections written before have expired on every node.
                 assert!(node.load().is_empty(), "{case} {seed}");
             }
         }
@@ -312,10 +314,10 @@
 }
 
 #[test]
-fn verify_old_load_does_not_come_back() {
-    // Symptom: work sent long ago counts as if it had just been sent.
-    // Sequence: a section is written, a later one ages out, then the first arrives late.
-    // Cause: forgetting the number of a section together with the section.
+fn verify_late_load_section_is_ignored() {
+    // Guards against work sent long ago that counts as just sent. A section is written, a later one
+    // expires, then the first arrives late. The failure occurs if the number of a section is removed
+    // together with the section.
 
     // Arrange.
     let mut network = Network::new(1);
@@ -347,7 +349,7 @@
 }
 
 #[test]
-fn verify_all_sections_of_the_dead_are_forgotten() {
+fn verify_sections_of_removed_instances_expire() {
     // Arrange.
     let options = GossipOptions::default();
     let mut node = GossipNode::new(name(0), options);
@@ -365,7 +367,7 @@
     assert_eq!(node.acks().len(), 1);
     let later = options.retention + options.retention;
 
-    // Act and assert: it is kept as long as the other is announced, and no longer.
+    // Act and assert: the section is retained only while the other instance is announced.
     node.tick(later, &mut Outbox::default());
     assert_eq!(node.acks().len(), 1);
     node.set_announced(BTreeSet::new());
@@ -374,12 +376,11 @@
 }
 
 #[test]
-fn verify_own_sections_outlive_everything() {
-    // Symptom: a drain that takes long waits for ever for one instance's acknowledgement.
-    // Sequence: the instance is not among those that it was told are announced; more than the
-    // retention later it acknowledges again.
-    // Cause: it forgot its own section, began its numbers anew, and its partners took the next for
-    // an old one.
+fn verify_own_section_numbers_survive_retention() {
+    // Guards against a long drain that waits forever for one instance's acknowledgement. The
+    // instance is missing from its own list of announced instances and acknowledges again after more
+    // than the retention time. The failure occurs if it removes its own section and restarts the
+    // numbers, because its partners then ignore the next section as old.
 
     // Arrange.
     let options = GossipOptions::default();
@@ -390,7 +391,7 @@
     let link = LinkId(1);
     node.connect(link);
     other.connect(link);
-    let mut tell = |node: &mut GossipNode, generation: u64, now: Millis| {
+    let mut send_ack = |node: &mut GossipNode, generation: u64, now: Millis| {
         let drain = DrainAck { pool: "pool-a".parse().unwrap(), engine: engine(), generation };
         node.write_acks(AckSection { drains: vec![drain], terms: Vec::new() }, now);
         let mut outbox = Outbox::default();
@@ -400,22 +401,22 @@
         }
         other.acks()[&name(0)].body.has_drained(&engine(), generation)
     };
-    assert!(tell(&mut node, 1, Millis(1)));
+    assert!(send_ack(&mut node, 1, Millis(1)));
     let later = options.retention + options.retention;
 
     // Act.
     node.tick(later, &mut Outbox::default());
-    let is_told = tell(&mut node, 2, later + options.answer_timeout + Millis(1));
+    let is_received = send_ack(&mut node, 2, later + options.answer_timeout + Millis(1));
 
     // Assert.
-    assert!(is_told);
+    assert!(is_received);
 }
 
 #[test]
-fn verify_demand_is_told_only_where_it_stays_fresh() {
-    // Announced instances, accounts in a section, whether it is told.
+fn verify_demand_is_published_only_while_it_stays_fresh() {
+    // Announced instances, accounts in a section, whether the section is published.
     let cases = [(9, 16, true), (32, 16, true), (33, 16, false), (88, 4, true), (390, 4, false)];
-    for (instances, accounts, is_told) in cases {
+    for (instances, accounts, is_published) in cases {
         // Arrange.
         let mut node = GossipNode::new(name(0), GossipOptions::default());
         node.set_announced((0..instances).map(name).collect());
@@ -433,7 +434,9 @@
         node.tick(Millis(1), &mut outbox);
 
         // Assert.
-        let Message::Update { update, .. } = &outbox.0[0].1 else { panic!("no update") };
-        assert_eq!(!update.demand.is_empty(), is_told, "{instances} instances");
+        let Message::Update { update, .. } = &outbox.0[0].1 else {
+            panic!("the first message is not an update")
+        };
+        assert_eq!(!update.demand.is_empty(), is_published, "{instances} instances");
     }
 }
