--- a/crates/anvilhook-gateway/src/budgets.rs
+++ b/crates/anvilhook-gateway/src/budgets.rs
@@ -1,4 +1,4 @@
-//! The budget for arrivals beyond the first of each request.
+//! Limits extra arrivals: the arrivals of a request at upstreams beyond its first one.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -9,23 +9,23 @@
 /// `BudgetOptions` bounds extra arrivals in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetOptions {
-    /// Extra arrivals for each request in the window.
+    /// The extra arrivals allowed for each request in the window.
     pub share: f64,
-    /// Extra arrivals in the window beside, of all instances together.
+    /// The extra arrivals allowed in the window in addition, for all instances together.
     pub spare: f64,
     /// The window's length.
     pub window: Millis,
 }
 
-/// What is used of a bound on extra arrivals. The windows of whoever checks it and of the instances
-/// are not the same, so that a window of an instance may hold a third more requests than those that
-/// count; and an instance that starts anew has forgotten what it used before.
+/// The parts of a bound on extra arrivals that are used. The bound is checked over windows that differ from
+/// those of the instances, so an instance's window may hold a third more requests than the checked one.
+/// Also, an instance that restarts no longer knows how much it used before.
 const USED_SHARE: f64 = 0.62;
 const USED_SPARE: f64 = 0.33;
 
 impl BudgetOptions {
-    /// Returns the budget that keeps a bound of `share` extra arrivals for each request and `spare`
-    /// beside, in any window.
+    /// Returns the budget that stays within a bound of `share` extra arrivals for each request and `spare`
+    /// in addition, in any window.
     ///
     /// ```
     /// use anvilhook_core::units::Millis;
@@ -47,9 +47,10 @@
 
 /// `Budget` counts, for each service, the requests and the extra arrivals of a sliding window.
 ///
-/// The bound holds for all instances together. Each one keeps it for its own requests alone, so
-/// that the sum keeps it whether or not they hear one another: a share of one's own requests adds up
-/// to the share of all, and the spare part is divided by the number of instances that are listed.
+/// The bound applies to all instances together. Each one enforces it for its own requests alone, so that the
+/// sum stays within the bound even if instances receive nothing from each other. The shares of the
+/// instances' own requests add up to the share of all requests, and the spare part is divided by the number
+/// of listed instances.
 #[derive(Debug)]
 pub struct Budget {
     options: ArcSwap<BudgetOptions>,
@@ -57,12 +58,12 @@
 }
 
 impl Budget {
-    /// Makes a budget with nothing counted.
+    /// Creates a budget with nothing counted.
     pub fn new(options: BudgetOptions) -> Self {
         Self { options: ArcSwap::from_pointee(options), tallies: Mutex::default() }
     }
 
-    /// Puts other bounds in force. What was counted stays.
+    /// Replaces the bounds and retains the counts.
     pub fn set_options(&self, options: BudgetOptions) {
         self.options.store(Arc::new(options));
     }
@@ -72,8 +73,8 @@
         self.with(service, now, |tally| tally.requests.push_back(now));
     }
 
-    /// Takes one extra arrival out of the budget of one among so many instances. Returns false if
-    /// there is none.
+    /// Takes one extra arrival from this instance's part of the budget, which depends on the number of
+    /// instances. Returns false if none is left.
     pub fn try_take(&self, service: &Arc<str>, instances: usize, now: Millis) -> bool {
         self.with(service, now, |tally| {
             let earned = self.earned(tally, instances);
@@ -85,7 +86,7 @@
         })
     }
 
-    /// Gives the newest extra arrival back: it did not arrive.
+    /// Returns the newest extra arrival to the budget because it did not arrive.
     pub fn give_back(&self, service: &Arc<str>, now: Millis) {
         self.with(service, now, |tally| tally.extras.pop_back());
     }
--- a/crates/anvilhook-gateway/src/duties/mod.rs
+++ b/crates/anvilhook-gateway/src/duties/mod.rs
@@ -1,4 +1,6 @@
-//! Duties that one instance at a time has at the platform's API, under a lease.
+//! Carries out duties at the platform's API: usage reports and orders of engines.
+//!
+//! One instance at a time does so, under a lease.
 
 mod records;
 mod reports;
@@ -18,66 +20,67 @@
 use crate::tables::Table;
 use crate::wires::Wire;
 
-use reports::{ReportBook, Standing};
+use reports::{ReportStatus, ReportStore};
 use sizes::UsualSizes;
 
 /// The row of the lease.
 const LEASE_ROW: &str = "duties";
 
-/// The pause between two looks at what is due.
-const LOOK_EVERY: Duration = Duration::from_millis(250);
+/// The pause between two checks for pending work.
+const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// How long after a window's end its counts are complete: what began in it was heard of, and was told
-/// again to those who missed it.
-const SETTLING: Millis = Millis(2_400);
+/// How long after a window's end its counts are complete. By then the counts of all requests that began in
+/// it have been received, and have been resent to instances that missed them.
+const SETTLE_TIME: Millis = Millis(2_400);
 
-/// How much later the next in rank does what the first has not done.
+/// How much later each next instance in rank does the work that those before it have not done.
 const RANK_DELAY: Millis = Millis(1_600);
 
-/// How long a call takes at most. The lease must be good for as much longer as a call is sent.
+/// The maximum time of a call. When a call is sent, the lease must be valid for at least this long.
 pub const CALL_TIME: Millis = Millis(1_000);
 
-/// `DutyOptions` says which duties there are, and by which figures.
+/// `DutyOptions` configures which duties are carried out, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DutyOptions {
-    /// How long a lease is good for.
+    /// How long a lease is valid.
     pub lease: Millis,
-    /// How long after a window's end its usage is to be reported; `None` if it is not to be.
+    /// How long after a window's end its usage must be reported; `None` if usage is not reported.
     pub usage_due: Option<Millis>,
-    /// How much room upstreams are to have whose number is ordered; `None` if it is not.
+    /// The limits of the fleet sizes that are ordered; `None` if no engines are ordered.
     pub sizes: Option<SizeOptions>,
-    /// How long an earlier holder's call may be carried out late where nobody checks its fencing token.
+    /// How much later a call of an earlier holder may still be carried out where its fencing token is not
+    /// checked.
     pub late_calls: Millis,
 }
 
-/// `DutyRunner` does what is due, if this instance is the one to do so.
+/// `DutyRunner` does the pending work if this instance is responsible for it.
 ///
-/// The first in rank acts. If it is cut off or gone, what is due stays undone, and the next in rank does
-/// it a while later; the lease and the fencing token keep the two apart.
+/// The first instance in rank acts. If it is partitioned or gone, the next in rank does the pending work
+/// after a delay. The lease and the fencing token prevent both from acting at the same time.
 pub struct DutyRunner<W: Wire, T: Table, C: Clock, P: Cloud> {
     gateway: Gateway<W, C>,
     clock: C,
     cloud: P,
     options: DutyOptions,
     lease: LeaseManager<T, C>,
-    reports: ReportBook<T>,
+    reports: ReportStore<T>,
     planners: HashMap<Arc<str>, FleetPlanner>,
     usual_sizes: UsualSizes<T>,
     /// When the number of upstreams was logged last.
     logged_at: Option<Millis>,
 }
 
-/// `Step` is what came of one step.
+/// `Step` is the outcome of one step.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Step {
-    /// It is done, and the next one may follow.
+    /// The step is done, and the next one may follow.
     Done,
-    /// It is to be tried again later.
+    /// The step must be tried again later.
     Later,
 }
 
 impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyRunner<W, T, C, P> {
-    /// Makes a keeper that holds no lease.
+    /// Creates a runner that holds no lease.
     pub fn new(
         gateway: Gateway<W, C>,
         table: T,
@@ -95,28 +98,28 @@
             cloud,
             options,
             lease,
-            reports: ReportBook::new(table.clone()),
+            reports: ReportStore::new(table.clone()),
             planners: HashMap::new(),
             usual_sizes: UsualSizes::new(table),
             logged_at: None,
         }
     }
 
-    /// Does what is due for as long as the process runs.
+    /// Does the pending work for as long as the process runs.
     pub async fn run(mut self) {
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
+            tokio::time::sleep(CHECK_INTERVAL).await;
             if self.gateway.is_ready() {
                 self.run_once().await;
             }
         }
     }
 
-    /// Does what is due now, if this instance is the one to do so.
+    /// Does the work that is pending now if this instance is responsible for it.
     pub async fn run_once(&mut self) {
         let Some(rank) = self.gateway.peers().duty_rank(self.clock.now()) else { return };
         if let Some(due) = self.options.usage_due {
-            self.report_due(rank, due).await;
+            self.report_ended_windows(rank, due).await;
         }
         if let Some(sizes) = self.options.sizes {
             self.size_fleets(rank, sizes).await;
@@ -124,11 +127,11 @@
     }
 
     /// Reports the usage of each window that has ended and is not reported yet.
-    async fn report_due(&mut self, rank: usize, due: Millis) {
+    async fn report_ended_windows(&mut self, rank: usize, due: Millis) {
         let Some(windows) = self.gateway.usage().windows() else { return };
         loop {
             let time = self.gateway.usage().time(self.clock.now());
-            let settled = time.0.saturating_sub((SETTLING + RANK_DELAY * rank as u64).0);
+            let settled = time.0.saturating_sub((SETTLE_TIME + RANK_DELAY * rank as u64).0);
             let last = windows.at(WallTime(settled)).saturating_sub(1);
             let reported = self.gateway.usage().reported();
             if last <= reported {
@@ -147,15 +150,15 @@
         }
     }
 
-    /// Reports the usage of a window: what was written of it, or else what is counted now.
+    /// Reports the usage of a window: the stored report, or the current counts if none is stored.
     async fn report(&mut self, window: u64) -> Step {
         if self.hold().await.is_none() {
             return Step::Later;
         }
         let counted = UsageReport { window, counts: self.gateway.usage().totals(window) };
         let report = match self.reports.write(&counted).await {
-            Ok(Standing::Written(report)) => report,
-            Ok(Standing::TooOld) => {
+            Ok(ReportStatus::Written(report)) => report,
+            Ok(ReportStatus::TooOld) => {
                 self.gateway.usage().record_reported(window);
                 return Step::Done;
             }
@@ -164,7 +167,7 @@
                 return Step::Later;
             }
         };
-        // The writing may have taken long, or this instance was suspended in it.
+        // Writing may have taken long, or this instance may have been suspended meanwhile.
         let Some(lease) = self.hold().await else { return Step::Later };
         let authority = Authority { holder: self.lease.holder(), token: lease.token };
         let answer = self.cloud.report_usage(authority, &report).await;
@@ -188,7 +191,7 @@
         }
     }
 
-    /// Returns the lease, if it is held for as long as a call takes.
+    /// Returns the lease if it is valid for at least as long as a call takes.
     async fn hold(&mut self) -> Option<Lease> {
         let lease = self.lease.hold_for(CALL_TIME).await?;
         self.gateway.metrics().record_lease(lease.token);
--- a/crates/anvilhook-gateway/src/duties/records.rs
+++ b/crates/anvilhook-gateway/src/duties/records.rs
@@ -1,4 +1,4 @@
-//! What holders of duties leave for those that come after them, as rows of a table.
+//! Stores the state that a holder of duties passes on to later holders, as rows of a table.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -9,7 +9,7 @@
 /// The table of the records.
 const RECORD_TABLE: &str = "anvilhook_duties";
 
-/// `Record` is one row, as it was read or written last.
+/// `Record` is one row, with its value as it was last read or written.
 pub(super) struct Record<T, V> {
     table: T,
     row: &'static str,
@@ -17,17 +17,17 @@
 }
 
 impl<T: Table, V: Clone + Default + DeserializeOwned + Serialize> Record<T, V> {
-    /// Makes a record that has not been read.
+    /// Creates a record that has not been read.
     pub fn new(table: T, row: &'static str) -> Self {
         Self { table, row, known: None }
     }
 
-    /// Changes the record, and returns what `change` returns. It returns no new value if what stands is to
-    /// stay, and is called anew if somebody else has written meanwhile.
+    /// Changes the record and returns the result of `change`. `change` returns no new value if the current
+    /// one is to be retained, and is called again if another instance has written the row meanwhile.
     ///
     /// # Errors
     ///
-    /// Any failure of the table. The change may have been written, which the next call sees.
+    /// Any failure of the table. The change may have been written nevertheless; the next call detects that.
     pub async fn change<R>(
         &mut self,
         change: impl Fn(&V) -> (Option<V>, R),
--- a/crates/anvilhook-gateway/src/duties/sizes.rs
+++ b/crates/anvilhook-gateway/src/duties/sizes.rs
@@ -1,4 +1,4 @@
-//! Ordering engines: what is decided by [`anvilhook_core::fleet_size`], carried out.
+//! Orders engines as [`anvilhook_core::fleet_size`] decides.
 
 use std::collections::{BTreeMap, HashSet};
 use std::sync::Arc;
@@ -19,25 +19,26 @@
 use crate::tables::{Table, TableError};
 use crate::wires::Wire;
 
-/// How old the list of upstreams may be when some are ordered by it.
-const OLDEST_LIST: Millis = Millis(6_000);
+/// The maximum age of the list of upstreams from which orders are decided.
+const MAX_LIST_AGE: Millis = Millis(6_000);
 
-/// How often it is logged how many there are and how many are used.
-const LOG_EVERY: Millis = Millis(2_000);
+/// The interval at which the number of engines and their use are logged.
+const LOG_INTERVAL: Millis = Millis(2_000);
 
-/// The row of how many engines each service had before any were ordered.
+/// The row of the number of engines that each service had before any were ordered.
 const SIZE_ROW: &str = "sizes";
 
-/// `UsualSizes` keeps how many engines each service had before any were ordered.
+/// `UsualSizes` stores how many engines each service had before any were ordered.
 ///
-/// Whoever comes later sees the engines that were ordered, and would take them for what is usual.
+/// A later holder of the lease also sees the engines that were ordered. Without the stored number it would
+/// consider them as usual.
 pub(super) struct UsualSizes<T> {
     record: Record<T, BTreeMap<Arc<str>, u32>>,
     known: HashSet<Arc<str>>,
 }
 
 impl<T: Table> UsualSizes<T> {
-    /// Makes sizes of which none was read.
+    /// Creates the sizes with none read yet.
     pub fn new(table: T) -> Self {
         Self { record: Record::new(table, SIZE_ROW), known: HashSet::new() }
     }
@@ -46,7 +47,7 @@
         self.known.contains(service)
     }
 
-    /// Returns a service's size; `own` is written if none was before.
+    /// Returns the stored size of a service, and stores `own` first if there is none.
     async fn find_or_write(&mut self, service: &Arc<str>, own: u32) -> Result<u32, TableError> {
         let write = |sizes: &BTreeMap<Arc<str>, u32>| match sizes.get(service) {
             Some(size) => (None, *size),
@@ -62,8 +63,8 @@
     }
 }
 
-/// `Due` is an order with what it was decided by.
-struct Due {
+/// `PendingOrder` is an order with the data that it was decided from.
+struct PendingOrder {
     service: Arc<str>,
     spec: ScalingSpec,
     size: SizeOrder,
@@ -71,10 +72,10 @@
 }
 
 impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyRunner<W, T, C, P> {
-    /// Orders engines where there are too few or too many, if this instance is the one to do so.
+    /// Orders engines where there are too few or too many, if this instance is responsible for it.
     pub(super) async fn size_fleets(&mut self, rank: usize, options: SizeOptions) {
         let due = self.due_sizes(options);
-        // Whoever is next in rank looks on, and acts while the first does not hold the lease.
+        // Instances of later rank update their planners too, but act only while they hold the lease.
         if rank > 0 && !self.lease.is_held() {
             return;
         }
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Returns whether the planner goes by the number of engines that the first holder has found. If not, it
-    /// does from the next look on.
+    /// Returns whether the planner uses the usual number of engines that the first holder stored. If not, it
+    /// is set to that number, if the table answers, and uses it from the next check on.
     async fn knows_usual_size(&mut self, service: &Arc<str>) -> bool {
         if self.usual_sizes.is_known(service) {
             return true;
@@ -101,14 +102,14 @@
         false
     }
 
-    fn due_sizes(&mut self, options: SizeOptions) -> Vec<Due> {
+    fn due_sizes(&mut self, options: SizeOptions) -> Vec<PendingOrder> {
         let Some(config) = self.gateway.config() else { return Vec::new() };
         let now = self.clock.now();
-        let is_logged = self.logged_at.is_none_or(|at| at + LOG_EVERY <= now);
+        let is_logged = self.logged_at.is_none_or(|at| at + LOG_INTERVAL <= now);
         if is_logged {
             self.logged_at = Some(now);
         }
-        let is_stale = list_age(&self.gateway, now).is_none_or(|age| age > OLDEST_LIST);
+        let is_stale = list_age(&self.gateway, now).is_none_or(|age| age > MAX_LIST_AGE);
         let view = self.gateway.fleet().view();
         let mut due = Vec::new();
         for service in config.services() {
@@ -136,13 +137,13 @@
                     EngineKind::Reclaimable => zone.reclaimable,
                 });
                 let (service, spec) = (Arc::clone(&service.name), spec.clone());
-                due.push(Due { service, spec, size, has });
+                due.push(PendingOrder { service, spec, size, has });
             }
         }
         due
     }
 
-    async fn order_engines(&mut self, due: Due) {
+    async fn order_engines(&mut self, due: PendingOrder) {
         let Some(lease) = self.hold().await else { return };
         let authority = Authority { holder: self.lease.holder(), token: lease.token };
         let order = FleetOrder { service: due.service, size: due.size };
@@ -152,7 +153,7 @@
         let Some(planner) = self.planners.get_mut(&service) else { return };
         let outcome = match answer {
             CloudAnswer::Accepted => SizeAnswer::Taken,
-            // Either there are none, or another one holds the lease, which its next reading shows.
+            // Either no engines are available, or another instance holds the lease; reloading it shows which.
             CloudAnswer::Conflict => SizeAnswer::Unavailable,
             CloudAnswer::Busy | CloudAnswer::Wrong | CloudAnswer::NoAnswer => SizeAnswer::Unknown,
         };
@@ -178,7 +179,7 @@
     gateway.metrics().source_age(LIST_SOURCE, now)
 }
 
-/// Returns how many engines' worth of work there is, by what is believed of all instances' requests.
+/// Returns how many engines the current work would fully occupy, estimated from all instances' requests.
 fn engines_in_use(listed: &[Arc<Upstream>], now: Millis) -> f64 {
     let staying = listed.iter().filter(|one| !one.is_leaving());
     let uses = staying.map(|one| {
@@ -193,7 +194,8 @@
     uses.sum()
 }
 
-/// Returns the engines that don't leave, by availability zone; zones in which all leave are among them.
+/// Returns the numbers of engines that don't leave, by availability zone. Zones in which all engines leave
+/// are included.
 fn engines_by_zone(listed: &[Arc<Upstream>]) -> Vec<ZoneEngines> {
     let mut zones: BTreeMap<Arc<str>, ZoneEngines> = BTreeMap::new();
     for upstream in listed {
--- a/crates/anvilhook-gateway/src/placements.rs
+++ b/crates/anvilhook-gateway/src/placements.rs
@@ -1,4 +1,6 @@
-//! Where a prompt is read and where its output is generated.
+//! Chooses the engine that reads (prefills) a prompt and the engine that generates its output.
+//!
+//! Every candidate engine gets a predicted time or cost in milliseconds, and the cheapest one is chosen.
 
 use std::sync::Arc;
 
@@ -13,69 +15,74 @@
 use crate::hashes::hash_of;
 use crate::prompts::Prompt;
 
-/// What it costs to start a transfer between engines, in milliseconds.
+/// The cost of starting a transfer between engines, in milliseconds.
 const TRANSFER_SETUP_MS: f64 = 3.0;
 
-/// What a second exchange with an engine costs, in milliseconds.
+/// The cost of a second exchange with an engine, in milliseconds.
 const HOP_MS: f64 = 2.0;
 
-/// What a body's crossing to another availability zone is worth, in milliseconds a kilobyte.
+/// The cost of sending a body to another availability zone, in milliseconds per kilobyte.
 const CROSSING_MS_PER_KB: f64 = 0.6;
 
-/// What another copy of a shared part is worth, in milliseconds: it displaces others.
+/// The cost of caching another copy of a shared part, in milliseconds: the copy displaces other parts.
 const COPY_MS: f64 = 30.0;
 
-/// What it is worth to read a part that nobody holds where all instances would look for it.
-const HOME_MS: f64 = 40.0;
+/// The cost of reading a part that no engine holds at an engine other than the preferred one, in
+/// milliseconds. All instances expect to find the part at the preferred engine.
+const NON_PREFERRED_COST_MS: f64 = 40.0;
 
-/// How much longer a decode engine takes to read a prompt.
+/// How many times longer a decode engine takes to read a prompt.
 const DECODE_READING_FACTOR: f64 = 2.0;
 
-/// What a decode engine's reading costs beyond its time, as a factor and in milliseconds. All of
-/// its streams stand still meanwhile, so that one that reads often makes many of them late.
+/// The cost of reading a prompt at a decode engine in addition to its time, as a factor and in
+/// milliseconds. All streams of the engine pause while it reads, so frequent reading delays many of them.
 const DIRECT_FACTOR: f64 = 3.0;
 const DIRECT_MS: f64 = 600.0;
 
-/// The share of an engine's places that instances of other availability zones may have taken since its
-/// load was told here. Without it the last free places of far engines draw the streams of all zones.
-const UNHEARD_PLACES: f64 = 0.15;
+/// The share of an engine's slots that instances of other availability zones are assumed to have taken
+/// since its load was last reported here. Without it, the last free slots of far engines would attract
+/// the streams of all zones.
+const UNREPORTED_SLOT_SHARE: f64 = 0.15;
 
-/// What each request beside one that may end its engine is worth, in milliseconds: it would be lost too.
+/// The cost of each request that runs at an engine together with a suspect, in milliseconds. If the
+/// suspect terminates the engine, these requests are lost too.
 const NEIGHBOR_MS: f64 = 1_000.0;
 
-/// The neighbors that a suspect takes into account for an engine of its own.
+/// The number of ranks over which a suspect spreads the engines. One rank costs as much as one neighbor, so
+/// this bounds how many more neighbors a suspect accepts at an engine of a lower rank.
 const SUSPECT_RANKS: u64 = 8;
 
-/// Returns an engine's rank for a suspect, in neighbors. Each has an order of its own: suspects that were
-/// all tried where the least runs would meet there, and end together with the one that ends engines.
+/// Returns an engine's rank for a suspect, in neighbors. Each suspect ranks the engines differently. If all
+/// suspects were tried at the least loaded engine, they would meet there, and harmless ones would be lost
+/// together with the one that terminates engines.
 pub(crate) fn suspect_rank(suspect: Fingerprint, upstream: &Upstream) -> u32 {
     (hash_of(&(suspect, &*upstream.entry.id)) % SUSPECT_RANKS) as u32
 }
 
-/// What a request in flight adds to the time of the next one at a decode engine, in milliseconds.
+/// How much each request in flight delays the next one at a decode engine, in milliseconds.
 const IN_FLIGHT_MS: f64 = 0.2;
 
-/// `Placer` weighs the engines of a service for one request.
+/// `Placer` evaluates the engines of a service for one request.
 pub struct Placer<'a> {
-    /// The upstreams as they are listed now.
+    /// The upstreams that are listed now.
     pub view: &'a FleetView,
-    /// What the caches hold.
+    /// The estimated contents of the engines' prefix caches.
     pub caches: &'a CacheIndex,
-    /// What engines of the service need to read prompts.
+    /// The time that engines of the service need to read prompts.
     pub speed: &'a ReadingCost,
-    /// How long an output takes in the mean, in milliseconds. Whoever finds an engine's places taken
-    /// waits for a share of it; to think that wait short would fill the near engines over their places
-    /// while farther ones are free.
+    /// The mean time of an output, in milliseconds. A request that finds all slots of an engine taken waits
+    /// for a share of it. If that wait were underestimated, near engines would be filled beyond their slots
+    /// while far ones are free.
     pub output_ms: f64,
     /// The availability zone of this instance.
     pub zone: &'a str,
-    /// How old news of the loads in other availability zones are, in milliseconds.
-    pub far_news_ms: f64,
-    /// The time now.
+    /// The typical age of load updates from other availability zones, in milliseconds.
+    pub far_update_delay_ms: f64,
+    /// The current time.
     pub now: Millis,
 }
 
-/// `Request` is what is placed.
+/// `Request` is a request that is to be placed.
 #[derive(Clone, Copy, Debug)]
 pub struct Request<'a> {
     /// The service.
@@ -88,8 +95,8 @@
     pub body_bytes: usize,
     /// Engines that have failed or refused the request.
     pub avoid: &'a [Arc<str>],
-    /// What it is known by if engines may end under it: it goes where little is lost, and apart from others
-    /// of its kind.
+    /// The request's fingerprint if it is suspected of terminating engines. A suspect is placed where few
+    /// other requests would be lost, and away from other suspects.
     pub suspect: Option<Fingerprint>,
 }
 
@@ -100,13 +107,13 @@
     pub upstream: Arc<Upstream>,
     /// An engine that holds more of the prompt, from which it should fetch first.
     pub fetch_from: Option<Arc<Upstream>>,
-    /// How many tokens of the prompt it holds already.
+    /// How many tokens of the prompt need not be read, because they are cached or fetched first.
     pub cached: u32,
-    /// The predicted work, in milliseconds.
+    /// The predicted reading time of the prompt, in milliseconds.
     pub reading_ms: f64,
-    /// What has to be fetched before, in milliseconds of the engine's link.
+    /// The predicted time of the fetch that precedes the reading, in milliseconds of the engine's link.
     pub fetching_ms: f64,
-    /// What the engine has to read before, in milliseconds.
+    /// The time that the engine needs to read the prompts queued before this one, in milliseconds.
     pub backlog_ms: f64,
     /// The predicted time until the prompt is read, in milliseconds.
     pub total_ms: f64,
@@ -119,22 +126,22 @@
     pub upstream: Arc<Upstream>,
     /// The predicted time to the first token if the prompt was read elsewhere, in milliseconds.
     pub fetched_ms: f64,
-    /// What fetching the prompt would be, in milliseconds of the engine's link.
+    /// The predicted time to fetch the prompt, in milliseconds of the engine's link.
     pub fetching_ms: f64,
     /// The predicted time to the first token if it also reads the prompt, in milliseconds.
     pub direct_ms: f64,
-    /// What that costs, in milliseconds, with what it holds up.
+    /// The cost of that, in milliseconds, including the delay of the engine's other streams.
     pub direct_cost_ms: f64,
-    /// What reading the prompt there would be, in milliseconds of its work.
+    /// The predicted time to read the prompt there, in milliseconds of the engine's work.
     pub reading_ms: f64,
 }
 
-/// `Plan` says how a request is to be served.
+/// `Plan` specifies how a request is served.
 #[derive(Clone, Debug)]
 pub enum Plan {
     /// A prefill engine reads the prompt; the decode engine is chosen afterwards.
     Split(Reader),
-    /// A decode engine does both.
+    /// One engine reads the prompt and generates the output.
     Direct(Generator),
 }
 
@@ -149,7 +156,7 @@
 }
 
 impl Placer<'_> {
-    /// Chooses how to serve a request; `None` if no engine can take it.
+    /// Chooses how to serve a request. Returns `None` if no engine can accept it.
     pub fn plan(&self, req: &Request<'_>) -> Option<Plan> {
         let direct = self.generator_by(req, None, |generator| generator.direct_cost_ms)?;
         let fetched = self.generator_by(req, None, |generator| generator.fetched_ms)?;
@@ -169,33 +176,34 @@
     /// Chooses the engine that reads the prompt.
     pub fn reader(&self, req: &Request<'_>) -> Option<Reader> {
         let holder = self.holder(req);
-        let home = self.home(req);
+        let preferred = self.preferred(req);
         let readers = self.candidates(req, Role::Prefill);
         let readers = readers.map(|upstream| self.reader_at(req, upstream, holder.as_ref()));
         let readers: Vec<Reader> = readers.collect();
-        let unheard_ms = self.far_news_ms * self.busy_share(&readers);
+        let unreported_ms = self.far_update_delay_ms * self.busy_share(&readers);
         let costs = readers.into_iter().map(|reader| {
             let upstream = &reader.upstream;
             let mut cost = reader.total_ms + self.crossing_ms(req, upstream);
-            let is_home = home.as_ref().is_none_or(|home| home == &upstream.entry.id);
+            let is_preferred =
+                preferred.as_ref().is_none_or(|preferred| preferred == &upstream.entry.id);
             if reader.fetch_from.is_some() {
                 cost += COPY_MS;
             }
             if !self.is_near(upstream) {
-                cost += unheard_ms;
+                cost += unreported_ms;
             }
-            if holder.is_none() && !is_home {
-                cost += HOME_MS;
+            if holder.is_none() && !is_preferred {
+                cost += NON_PREFERRED_COST_MS;
             }
             (cost, reader)
         });
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, reader)| reader)
     }
 
-    /// Returns the share of the readers in this availability zone that have something to read.
+    /// Returns the share of the readers in this availability zone that have prompts to read.
     ///
-    /// It stands for how likely an engine of another zone, which was idle when its load was told, is idle
-    /// still. Instances of all zones that saw it idle would otherwise send their prompts there.
+    /// It estimates how likely an engine of another zone that was last reported idle has become busy since.
+    /// Without it, instances of all zones that saw the engine idle would send their prompts there.
     fn busy_share(&self, readers: &[Reader]) -> f64 {
         let near = readers.iter().filter(|reader| self.is_near(&reader.upstream));
         let (count, busy) = near.fold((0, 0), |(count, busy), reader| {
@@ -208,7 +216,7 @@
         &*upstream.entry.zone == self.zone
     }
 
-    /// Chooses the engine that generates the output of a prompt that another one has read.
+    /// Chooses the engine that generates the output of a prompt that `reader` has read.
     pub fn generator(&self, req: &Request<'_>, reader: &Upstream) -> Option<Generator> {
         self.generator_by(req, Some(reader), |generator| generator.fetched_ms)
     }
@@ -228,7 +236,7 @@
         costs.min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, generator)| generator)
     }
 
-    /// Returns what it costs to try a suspect at an engine.
+    /// Returns the cost of trying a suspect at an engine, in milliseconds.
     fn risk_ms(&self, suspect: Fingerprint, upstream: &Upstream) -> f64 {
         let neighbors = upstream.state.work(self.now).in_flight;
         f64::from(neighbors + suspect_rank(suspect, upstream)) * NEIGHBOR_MS
@@ -241,22 +249,22 @@
     ) -> impl Iterator<Item = &'s Arc<Upstream>> + 's {
         let all = self.view.of_service(req.service);
         let able = move |upstream: &&Arc<Upstream>| {
-            // An engine that takes both stages serves a request whole, and refuses one stage of it.
+            // An engine with the mixed role serves whole requests only and refuses a single stage.
             let has_role = match (role, upstream.role()) {
                 (Role::Prefill, has) => has == Some(Role::Prefill),
-                // An entry that says no stage was not written by an engine.
+                // An entry without a role was not written by an engine.
                 (_, has) => has.is_some_and(|has| has != Role::Prefill),
             };
             let is_avoided = req.avoid.contains(&upstream.entry.id);
             has_role && upstream.takes_work(self.now) && !is_avoided
         };
-        // Ejection must not empty a stage: with every engine ejected, all are tried again.
-        let well = move |upstream: &&Arc<Upstream>| {
+        // Ejection must not leave a stage without engines: if all are ejected, all are tried again.
+        let healthy = move |upstream: &&Arc<Upstream>| {
             let has_bad_handles = upstream.state.has_bad_handles(self.now);
             upstream.state.is_healthy(self.now) && !has_bad_handles
         };
-        let any_well = all.iter().filter(able).any(|upstream| well(&upstream));
-        all.iter().filter(able).filter(move |upstream| !any_well || well(upstream))
+        let any_healthy = all.iter().filter(able).any(|upstream| healthy(&upstream));
+        all.iter().filter(able).filter(move |upstream| !any_healthy || healthy(upstream))
     }
 
     fn reader_at(
@@ -308,13 +316,13 @@
     ) -> Generator {
         let held = self.caches.held_tokens(&upstream.entry.id, req.prompt);
         let work = upstream.state.work(self.now);
-        // This request comes on top of what is in flight, and of what is not heard of yet.
-        let unheard = if self.is_near(upstream) || self.far_news_ms == 0.0 {
+        // Adds this request to those in flight and to those that other zones have not reported yet.
+        let unreported = if self.is_near(upstream) || self.far_update_delay_ms == 0.0 {
             0
         } else {
-            (f64::from(upstream.entry.slots) * UNHEARD_PLACES).ceil() as u32
+            (f64::from(upstream.entry.slots) * UNREPORTED_SLOT_SHARE).ceil() as u32
         };
-        let queued = (work.in_flight + unheard + 1).saturating_sub(upstream.entry.slots);
+        let queued = (work.in_flight + unreported + 1).saturating_sub(upstream.entry.slots);
         let slowness = upstream.state.slowness();
         let queued_ms = self.output_ms / f64::from(upstream.entry.slots.max(1));
         let wait_ms = f64::from(work.in_flight) * IN_FLIGHT_MS + f64::from(queued) * queued_ms;
@@ -340,7 +348,7 @@
         }
     }
 
-    /// Returns the engine that holds most of the prompt's start, with how many tokens.
+    /// Returns the engine that caches the longest start of the prompt, and its length in tokens.
     fn holder(&self, req: &Request<'_>) -> Option<(Arc<Upstream>, u32)> {
         let upstreams = self.view.of_service(req.service).iter();
         let alive = upstreams.filter(|upstream| upstream.takes_work(self.now));
@@ -350,9 +358,9 @@
         held.filter(|(_, tokens)| *tokens > 0).max_by_key(|(_, tokens)| *tokens)
     }
 
-    /// Returns the engine at which a part that nobody holds is read first: the same for all
-    /// instances.
-    fn home(&self, req: &Request<'_>) -> Option<Arc<str>> {
+    /// Returns the preferred engine, which reads a shared part that no engine holds yet. Rendezvous hashing
+    /// lets all instances choose the same one.
+    fn preferred(&self, req: &Request<'_>) -> Option<Arc<str>> {
         let first = req.prompt.shared().first()?;
         let readers = self.candidates(req, Role::Prefill);
         readers
--- a/crates/anvilhook-gateway/src/relay/prompts.rs
+++ b/crates/anvilhook-gateway/src/relay/prompts.rs
@@ -204,7 +204,7 @@
             speed: &speed,
             output_ms: self.inner.speeds.mean_output_ms(&exchange.service),
             zone: &self.inner.options.zone,
-            far_news_ms: if self.peers().is_full_mesh() { 0.0 } else { FAR_NEWS_MS },
+            far_update_delay_ms: if self.peers().is_full_mesh() { 0.0 } else { FAR_NEWS_MS },
             now: self.now(),
         })
     }
--- a/crates/anvilhook-gateway/src/roles/mod.rs
+++ b/crates/anvilhook-gateway/src/roles/mod.rs
@@ -1,4 +1,6 @@
-//! Keeping the split of a service's engines between reading prompts and generating output.
+//! Controls how a service's engines are split between reading (prefill) of prompts and generating output.
+//!
+//! One instance at a time orders engines to change their roles, under a lease.
 
 mod orders;
 
@@ -26,38 +28,39 @@
 /// The row of the lease.
 const LEASE_ROW: &str = "roles";
 
-/// The pause between two looks at the split.
-const LOOK_EVERY: Duration = Duration::from_millis(500);
+/// The pause between two checks of the split.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long after the start the first look is taken, so that the engines have been listed.
-const FIRST_LOOK: Duration = Duration::from_millis(5_000);
+/// How long after the start the first check is made, so that the engines have been listed.
+const STARTUP_DELAY: Duration = Duration::from_millis(5_000);
 
-/// How long an engine is left alone after an order, whatever came of it.
-const SETTLING: Millis = Millis::from_secs(6);
+/// How long an engine gets no further order after one, whatever its outcome.
+const SETTLE_TIME: Millis = Millis::from_secs(6);
 
-/// How long an engine that is to change its role may take to end what runs. It gets no work until it
-/// is listed with the new role: requests sent to it meanwhile are refused, and spend the retry budget.
-const LONGEST_ENDING: Millis = Millis::from_secs(8);
+/// How long an engine that is to change its role may take to complete its running requests. It gets no
+/// work until it is listed with the new role, because it would refuse the requests, and they would use up
+/// the retry budget.
+const MAX_COMPLETION_TIME: Millis = Millis::from_secs(8);
 
-/// How long before its order an engine gets no new work: until instances of all availability zones have
-/// heard of it, and what most of them sent before has begun.
+/// How long an engine gets no new work before it is ordered to change its role. In this time the notice
+/// reaches instances of all availability zones, and most requests that they sent earlier begin to run.
 const DRAIN_TIME: Duration = Duration::from_millis(300);
 
-/// For how long such a notice holds. An order that is not taken is over by then.
+/// How long such a notice is valid. An order that is not accepted has failed by then.
 const NOTICE_TIME: Millis = Millis(2_500);
 
-/// `RoleOptions` says how the engines are to be split.
+/// `RoleOptions` configures how engines are split.
 #[derive(Clone, Debug)]
 pub struct RoleOptions {
-    /// The share of a service's engines that read prompts, at first and at most.
+    /// The share of a service's engines that read prompts: the initial value, and the maximum.
     pub prefill_share: f64,
-    /// How long the split must be uneven before an order is given.
+    /// How long the split must differ from the wanted one before an order is given.
     pub patience: Millis,
-    /// How long a lease is good for.
+    /// How long a lease is valid.
     pub lease: Millis,
 }
 
-/// `RoleController` has engines change their roles, under a lease.
+/// `RoleController` orders engines to change their roles, under a lease.
 pub struct RoleController<W: Wire, T: Table, C: Clock> {
     gateway: Gateway<W, C>,
     clock: C,
@@ -65,14 +68,14 @@
     lease: LeaseManager<T, C>,
     uneven_since: Option<Millis>,
     settling: HashMap<u32, Millis>,
-    /// The share of readers that is kept, by service, where it is not the first one.
+    /// The current share of readers by service, where it differs from the initial one.
     shares: HashMap<Arc<str>, f64>,
-    /// How much of each service's engines is taken.
+    /// How much of the capacity of each service's engines is used.
     pressures: HashMap<Arc<str>, Pressure>,
 }
 
 impl<W: Wire, T: Table, C: Clock> RoleController<W, T, C> {
-    /// Makes a keeper that holds no lease.
+    /// Creates a controller that holds no lease.
     pub fn new(
         gateway: Gateway<W, C>,
         table: T,
@@ -92,17 +95,17 @@
         }
     }
 
-    /// Sets how long the split must be uneven before an order is given.
+    /// Sets how long the split must differ from the wanted one before an order is given.
     pub fn set_patience(&mut self, patience: Millis) {
         self.options.patience = patience;
     }
 
-    /// Keeps the split for as long as the process runs.
+    /// Controls the split for as long as the process runs.
     pub async fn run(mut self) {
-        tokio::time::sleep(FIRST_LOOK).await;
+        tokio::time::sleep(STARTUP_DELAY).await;
         loop {
-            tokio::time::sleep(LOOK_EVERY).await;
-            // One instance acts, so that the others need not even read the lease.
+            tokio::time::sleep(CHECK_INTERVAL).await;
+            // Only the first instance in rank acts, so that the others need not read the lease.
             let is_first = self.gateway.peers().is_first(self.clock.now());
             if self.gateway.is_ready() && is_first {
                 self.reconcile().await;
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Looks at the split once, and gives the orders that are due.
+    /// Checks the split once and gives the orders that are due.
     pub async fn reconcile(&mut self) {
         let Some(config) = self.gateway.config() else { return };
         let due = self.due_changes(&config);
@@ -118,7 +121,7 @@
             self.uneven_since = None;
             return;
         }
-        // An engine that restarts is missing for a moment only; a change takes another one away.
+        // An engine that restarts is missing only briefly, while a change would make another one unavailable.
         let now = self.clock.now();
         let uneven_since = *self.uneven_since.get_or_insert(now);
         if now < uneven_since + self.options.patience {
@@ -127,14 +130,14 @@
         let Some(lease) = self.lease.hold().await else { return };
         self.gateway.metrics().record_lease(lease.token);
         self.give_notice(&due).await;
-        // Engines that leave their order unanswered must not hold up the others' orders.
+        // Orders are sent concurrently: an engine that does not answer must not delay the others' orders.
         let orders = due.iter().map(|change| {
             give_order(&self.gateway, &self.clock, change, self.lease.holder(), lease)
         });
         let outcomes = join_all(orders).await;
         for (change, outcome) in due.into_iter().zip(outcomes) {
             if let Some(outcome) = outcome {
-                self.conclude(change, outcome, lease);
+                self.record_outcome(change, outcome, lease);
             }
         }
     }
@@ -152,24 +155,24 @@
             let changing = listed.iter().filter(is_changing).count();
             let mix = self.gateway.speeds().mix(&service.name);
             let left = mix.changes_left(listed.len(), changing);
-            let most = left + self.settling.len();
-            let changes = self.changes_of(&service.name, listed, &mix, most).into_iter();
+            let max = left + self.settling.len();
+            let changes = self.changes_of(&service.name, listed, &mix, max).into_iter();
             let unsettled =
                 changes.filter(|(upstream, _)| !self.settling.contains_key(&upstream.digest));
             let allowed = unsettled.take(left);
-            let away = engine.role_change;
-            due.extend(allowed.map(|(upstream, role)| Change { upstream, role, away }));
+            let duration = engine.role_change;
+            due.extend(allowed.map(|(upstream, role)| Change { upstream, role, duration }));
         }
         due
     }
 
-    /// Returns the changes that bring a service's listed engines to the wanted split, `most` at most.
+    /// Returns at most `max` changes that bring a service's listed engines closer to the wanted split.
     fn changes_of(
         &mut self,
         service: &Arc<str>,
         listed: &[Arc<Upstream>],
         mix: &WorkMix,
-        most: usize,
+        max: usize,
     ) -> Vec<(Arc<Upstream>, Role)> {
         let staying: Vec<_> = listed
             .iter()
@@ -196,11 +199,11 @@
             let spare = readers.len() - wanted;
             (readers, spare, Role::Decode)
         };
-        let taken = take_from_fullest_zones(from, count.min(most), self.clock.now()).into_iter();
+        let taken = take_from_fullest_zones(from, count.min(max), self.clock.now()).into_iter();
         taken.map(|upstream| (upstream, role)).collect()
     }
 
-    /// Returns the share of a service's engines that are to read, by the work of late.
+    /// Returns the share of a service's engines that should read prompts, according to the recent work.
     fn share_of(
         &mut self,
         service: &Arc<str>,
@@ -208,20 +211,20 @@
         pressure: &Pressure,
         engines: usize,
     ) -> f64 {
-        let most = self.options.prefill_share;
-        let kept = self.shares.get(service).copied().unwrap_or(most);
-        let next = next_share(kept, most, mix, pressure, engines);
-        if next != kept {
-            emit(&Event::SplitPlanned { service, share: next, before: kept });
+        let max = self.options.prefill_share;
+        let current = self.shares.get(service).copied().unwrap_or(max);
+        let next = next_share(current, max, mix, pressure, engines);
+        if next != current {
+            emit(&Event::SplitPlanned { service, share: next, before: current });
             self.shares.insert(Arc::clone(service), next);
         }
         next
     }
 
-    /// Has all instances leave engines alone that are about to get an order, and waits until they do.
+    /// Notifies all instances to skip the engines that are about to get an order, and waits until they do.
     ///
-    /// An engine that takes an order refuses all that has not begun there. Without a notice, prompts
-    /// that are on their way to it would be refused, and each would spend the retry budget.
+    /// An engine that accepts an order refuses all requests that it has not begun. Without a notice, prompts
+    /// on their way to it would be refused, and each would use up some of the retry budget.
     async fn give_notice(&self, due: &[Change]) {
         let until = self.clock.now() + NOTICE_TIME;
         for Change { upstream, role, .. } in due {
@@ -231,19 +234,20 @@
         tokio::time::sleep(DRAIN_TIME).await;
     }
 
-    /// Notes what came of an order.
-    fn conclude(&mut self, change: Change, outcome: OrderOutcome, lease: Lease) {
-        let Change { upstream, role, away } = change;
+    /// Records the outcome of an order.
+    fn record_outcome(&mut self, change: Change, outcome: OrderOutcome, lease: Lease) {
+        let Change { upstream, role, duration } = change;
         let now = self.clock.now();
-        self.settling.insert(upstream.digest, now + SETTLING);
+        self.settling.insert(upstream.digest, now + SETTLE_TIME);
         match outcome {
             OrderOutcome::Answered(OrderAnswer::Taken) => {
-                let until = now + away + LONGEST_ENDING;
+                let until = now + duration + MAX_COMPLETION_TIME;
                 upstream.state.record_role_change(RoleChange { role, until, is_own: true });
                 self.gateway.peers().announce();
-                let asking = await_role(self.gateway.clone(), Arc::clone(&upstream), role, away);
-                let longest = (away + LONGEST_ENDING).as_duration();
-                tokio::spawn(tokio::time::timeout(longest, asking));
+                let polling =
+                    await_role(self.gateway.clone(), Arc::clone(&upstream), role, duration);
+                let limit = (duration + MAX_COMPLETION_TIME).as_duration();
+                tokio::spawn(tokio::time::timeout(limit, polling));
             }
             OrderOutcome::Answered(OrderAnswer::Fenced) => self.lease.yield_to_newer(),
             OrderOutcome::Answered(OrderAnswer::Busy | OrderAnswer::Refused)
@@ -257,25 +261,26 @@
     }
 }
 
-/// Returns how much of some engines is taken now, by what is believed of all instances' requests.
+/// Returns how much of the engines' capacity is used now, estimated from all instances' requests.
 fn pressure_of(engines: &[&Arc<Upstream>], now: Millis) -> Pressure {
     let of_role = |role| engines.iter().filter(move |one| one.role() == Some(role));
     let share = |taken: u32, all: u32| f64::from(taken) / f64::from(all.max(1));
-    let (mut readers, mut busy, mut places, mut taken) = (0, 0, 0, 0);
+    let (mut readers, mut busy, mut all_slots, mut taken) = (0, 0, 0, 0);
     for reader in of_role(Role::Prefill) {
         readers += 1;
         busy += u32::from(reader.state.work(now).reading_ms > 0.0);
     }
     for generator in of_role(Role::Decode) {
         let slots = generator.entry.slots;
-        places += slots;
+        all_slots += slots;
         taken += generator.state.work(now).in_flight.min(slots);
     }
-    Pressure { reading: share(busy, readers), generating: share(taken, places) }
+    Pressure { reading: share(busy, readers), generating: share(taken, all_slots) }
 }
 
 /// Takes engines, each from the availability zone that has most of them left, and there the one with the
-/// least to do: what it has begun it ends first, and what waits there is refused.
+/// least work: before it changes its role, an engine completes its running requests and refuses waiting
+/// ones.
 fn take_from_fullest_zones(
     mut from: Vec<&Arc<Upstream>>,
     count: usize,
--- a/crates/anvilhook-gateway/src/roles/orders.rs
+++ b/crates/anvilhook-gateway/src/roles/orders.rs
@@ -1,4 +1,4 @@
-//! One engine's order to change its role, and what comes of it.
+//! Orders one engine to change its role, and follows the change.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,26 +14,25 @@
 use crate::relay::Gateway;
 use crate::wires::{EngineReport, OrderAnswer, RoleOrder, Wire};
 
-/// The pause between two questions whether an engine has its new role. Each has the price of a health
-/// check.
+/// The pause between two polls of an engine for its new role. Each costs as much as a health check.
 const ROLE_PAUSE: Duration = Duration::from_millis(300);
 
-/// The engines' reports as a source of what can't be read, as metrics name it.
+/// The name of the engines' reports in the metric of unreadable input.
 const REPORTS: &str = "reports";
 
 /// `Change` is a change of role that is due.
 pub(super) struct Change {
     pub upstream: Arc<Upstream>,
     pub role: Role,
-    /// How long the engine is away for it.
-    pub away: Millis,
+    /// How long the engine accepts no work during the change.
+    pub duration: Millis,
 }
 
-/// `OrderOutcome` is what came of an order that was given.
+/// `OrderOutcome` is the outcome of an order that was given.
 #[derive(Clone, Copy)]
 pub(super) enum OrderOutcome {
     Answered(OrderAnswer),
-    /// It may have been taken, or be taken later.
+    /// The engine did not answer. It may have accepted the order, or may accept it later.
     NoAnswer,
 }
 
@@ -50,8 +49,8 @@
     }
 }
 
-/// Gives an engine an order, if it is to be given. Returns what the engine said, `None` if no order
-/// was given.
+/// Gives an engine an order if its report still allows one. Returns the outcome, or `None` if no order was
+/// given.
 pub(super) async fn give_order<W: Wire, C: Clock>(
     gateway: &Gateway<W, C>,
     clock: &C,
@@ -63,9 +62,9 @@
     let wire = gateway.wire();
     let report = gateway.own_call(upstream, &wire.report()).await?;
     let report = read_report(gateway, report.status, &report.body)?;
-    // One that has started again, which the list does not show yet, may have another role.
+    // An engine that has restarted, which the list does not show yet, may have another role.
     let is_other = upstream.entry.has_other_start(report.born);
-    // Its report, or another answer since it was chosen, may have told that it leaves.
+    // Its report, or another answer since it was chosen, may have reported that it leaves.
     if is_other
         || upstream.is_leaving()
         || report.busy
@@ -86,7 +85,7 @@
     }))
 }
 
-/// Reads an engine's report; `None` if it can't be read, which is counted unless the engine refused.
+/// Parses an engine's report. Returns `None` if it is unreadable, and counts that if the status is a success.
 fn read_report<W: Wire, C: Clock>(
     gateway: &Gateway<W, C>,
     status: StatusCode,
@@ -99,17 +98,17 @@
     report.ok()
 }
 
-/// Asks an engine that has taken an order until it has its new role, and has the others told.
+/// Polls an engine that has accepted an order until it has its new role, and notifies the other instances.
 ///
-/// The list shows the change up to two seconds later, and not at all while the table is away; an engine
-/// that is back would stand idle for as long.
+/// The list shows the change up to two seconds later, and not at all while the table is unreachable. An
+/// engine that accepts work again would be idle until then.
 pub(super) async fn await_role<W: Wire, C: Clock>(
     gateway: Gateway<W, C>,
     upstream: Arc<Upstream>,
     role: Role,
-    away: Millis,
+    duration: Millis,
 ) {
-    tokio::time::sleep(away.as_duration()).await;
+    tokio::time::sleep(duration.as_duration()).await;
     loop {
         let view = gateway.fleet().view();
         let Some(listed) = view.get(&upstream.entry.id) else { return };
--- a/crates/anvilhook-gateway/src/speeds.rs
+++ b/crates/anvilhook-gateway/src/speeds.rs
@@ -1,4 +1,5 @@
-//! How fast the engines of each service work, learnt from this instance's own requests.
+//! Estimates how fast the engines of each service work, from this instance's own requests, and how much work
+//! of each kind all instances ask for.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -13,17 +14,17 @@
 use crate::relay::Gateway;
 use crate::wires::Wire;
 
-/// What is expected of engines of which nothing is known.
+/// The reading cost that is expected of engines before any has been measured.
 pub const EXPECTED_READING: ReadingCost =
     ReadingCost { ms_per_thousand: 15.6, ms_per_million_pairs: 0.65, fixed_ms: 1.0 };
 
-/// The time of a token of output that is expected at first, in milliseconds.
+/// The expected time of a token of output before any was measured, in milliseconds.
 const EXPECTED_TOKEN_MS: f64 = 6.0;
 
-/// The time of a whole output that is expected at first, in milliseconds.
+/// The expected time of a whole output before any was measured, in milliseconds.
 const EXPECTED_OUTPUT_MS: f64 = 300.0;
 
-/// `Speeds` is what is learnt of each service's engines.
+/// `Speeds` holds the estimates of each service's engines.
 #[derive(Debug)]
 pub struct Speeds {
     expected: ReadingCost,
@@ -36,13 +37,13 @@
     output: OutputSpeed,
     mix: WorkMix,
     own_work: EngineWork,
-    /// Requests whose prompts were read and that wait here for a place.
-    seeking: Arc<AtomicU32>,
-    /// What other instances told last, by their numbers.
+    /// The number of requests whose prompts have been read and that wait here for a slot.
+    waiting: Arc<AtomicU32>,
+    /// The work that other instances last published, by instance number.
     peer_work: HashMap<u64, EngineWork>,
 }
 
-/// Counts a request that waits for a place of an engine.
+/// `SlotRequest` counts a request that waits for a slot of an engine, until it is dropped.
 #[derive(Debug)]
 pub struct SlotRequest(Arc<AtomicU32>);
 
@@ -52,15 +53,15 @@
     }
 }
 
-/// Meters, for as long as the process runs, the places that this instance's requests hold or wait for.
+/// Measures, for as long as the process runs, the slots that this instance's requests hold or wait for.
 ///
-/// A place is counted while it is held: an output that lasts for seconds would otherwise show only at
-/// its end, when the burst that it came with is over.
+/// A slot is counted while it is held. If it were counted at the end of the output, an output of several
+/// seconds would be counted only when the burst that it belongs to is over.
 pub async fn meter_slots<W: Wire, C: Clock>(gateway: Gateway<W, C>, clock: C) {
-    const METER_EVERY: Duration = Duration::from_millis(100);
+    const METER_INTERVAL: Duration = Duration::from_millis(100);
     let mut last_at = clock.now();
     loop {
-        tokio::time::sleep(METER_EVERY).await;
+        tokio::time::sleep(METER_INTERVAL).await;
         let now = clock.now();
         let time_ms = (now - std::mem::replace(&mut last_at, now)).0 as f64;
         let Some(config) = gateway.config() else { continue };
@@ -76,9 +77,9 @@
                     share(one.state.own_work().in_flight, one.entry.slots)
                 })
                 .sum();
-            let sought = share(gateway.speeds().waiting_for_slot(&service.name), slots);
-            if held + sought > 0.0 {
-                let generating_ms = (held + sought) * time_ms;
+            let waiting = share(gateway.speeds().waiting_for_slot(&service.name), slots);
+            if held + waiting > 0.0 {
+                let generating_ms = (held + waiting) * time_ms;
                 let work = EngineWork { generating_ms, ..EngineWork::default() };
                 gateway.speeds().record_work(&service.name, work, now);
             }
@@ -86,16 +87,17 @@
     }
 }
 
-/// The most instances of which the work is remembered. Processes come and go, each with a number of its
-/// own.
-const MOST_PEERS: usize = 2_000;
+/// The maximum number of instances whose work is stored. Each process has a new number, so the map would
+/// otherwise grow with every restart.
+const MAX_PEERS: usize = 2_000;
 
-/// `EngineWork` is work that engines did, in milliseconds of an engine.
+/// `EngineWork` is work done by engines, in milliseconds of one engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EngineWork {
-    /// Reading prompts.
+    /// The time spent on reading (prefill) of prompts.
     pub reading_ms: f64,
-    /// Generating outputs: the time that each held a place, divided by the engine's number of places.
+    /// The time spent on generating outputs: the time that each held a slot, divided by the engine's number
+    /// of slots.
     pub generating_ms: f64,
 }
 
@@ -107,12 +109,12 @@
 }
 
 impl Speeds {
-    /// Makes speeds of which only what is expected of reading is known.
+    /// Creates the estimates with the reading cost that is expected before any was measured.
     pub fn new(expected: ReadingCost) -> Self {
         Self { expected, services: Mutex::default() }
     }
 
-    /// Returns what a service's engines need to read prompts.
+    /// Returns the reading cost of a service's engines.
     pub fn reading(&self, service: &Arc<str>) -> ReadingCost {
         self.with(service, |speed| speed.reading.cost())
     }
@@ -122,24 +124,23 @@
         self.with(service, |speed| speed.output.output_ms(tokens))
     }
 
-    /// Returns how long a service's output may take at most, in milliseconds; `None` if this instance has
-    /// seen too few.
+    /// Returns how long a service's output may take at most, in milliseconds, or `None` if this instance has
+    /// seen too few outputs.
     pub fn longest_output_ms(&self, service: &Arc<str>, tokens: u32) -> Option<f64> {
         self.with(service, |speed| speed.output.longest_ms(tokens))
     }
 
-    /// Returns how long a service's outputs take in the mean, in milliseconds.
+    /// Returns the mean time of a service's outputs, in milliseconds.
     pub fn mean_output_ms(&self, service: &Arc<str>) -> f64 {
         self.with(service, |speed| speed.output.mean_ms())
     }
 
-    /// Learns from a prompt that an idle engine has read.
+    /// Records how long an idle engine took to read a prompt.
     pub fn record_reading(&self, service: &Arc<str>, tokens: u32, cached: u32, took_ms: f64) {
         self.with(service, |speed| speed.reading.record(tokens, cached, took_ms));
     }
 
-    /// Notes work that engines did for this instance: reading, and an output by the time that it held a
-    /// place of an engine with so many.
+    /// Records work that engines did for this instance.
     pub fn record_work(&self, service: &Arc<str>, work: EngineWork, now: Millis) {
         self.with(service, |speed| {
             speed.own_work.add(work);
@@ -147,16 +148,16 @@
         });
     }
 
-    /// Counts a request in that waits here for a place of an engine, until the guard is dropped.
+    /// Counts a request as waiting here for a slot of an engine until the guard is dropped.
     pub fn request_slot(&self, service: &Arc<str>) -> SlotRequest {
-        let count = self.with(service, |speed| Arc::clone(&speed.seeking));
+        let count = self.with(service, |speed| Arc::clone(&speed.waiting));
         count.fetch_add(1, Ordering::AcqRel);
         SlotRequest(count)
     }
 
-    /// Returns how many requests of a service wait here for a place.
+    /// Returns how many requests of a service wait here for a slot.
     pub fn waiting_for_slot(&self, service: &Arc<str>) -> u32 {
-        self.with(service, |speed| speed.seeking.load(Ordering::Acquire))
+        self.with(service, |speed| speed.waiting.load(Ordering::Acquire))
     }
 
     /// Returns the work that engines did for this instance since it started, by service.
@@ -165,28 +166,28 @@
         services.iter().map(|(service, speed)| (Arc::clone(service), speed.own_work)).collect()
     }
 
-    /// Takes in the work that engines did for another instance since it started.
+    /// Merges the work that engines did for another instance since that instance started.
     pub fn merge_work(&self, service: &Arc<str>, peer: u64, work: EngineWork, now: Millis) {
         self.with(service, |speed| {
-            // Of one that was not heard before nothing is known of when it came by its work.
+            // The first sum of an instance adds no work, as it is unknown when that work was done.
             let before = speed.peer_work.insert(peer, work).unwrap_or(work);
             let reading_ms = (work.reading_ms - before.reading_ms).max(0.0);
             let generating_ms = (work.generating_ms - before.generating_ms).max(0.0);
             if reading_ms + generating_ms > 0.0 {
                 speed.mix.record(reading_ms, generating_ms, now);
             }
-            if speed.peer_work.len() > MOST_PEERS {
+            if speed.peer_work.len() > MAX_PEERS {
                 speed.peer_work.clear();
             }
         });
     }
 
-    /// Returns the work of both kinds that was asked for of late.
+    /// Returns the recent work of both kinds.
     pub fn mix(&self, service: &Arc<str>) -> WorkMix {
         self.with(service, |speed| speed.mix)
     }
 
-    /// Learns from a whole output.
+    /// Records how long a whole output took.
     pub fn record_output(&self, service: &Arc<str>, tokens: u32, took_ms: f64) {
         self.with(service, |speed| speed.output.record(tokens, took_ms));
     }
@@ -198,7 +199,7 @@
             output: OutputSpeed::new(EXPECTED_TOKEN_MS, EXPECTED_OUTPUT_MS),
             mix: WorkMix::default(),
             own_work: EngineWork::default(),
-            seeking: Arc::default(),
+            waiting: Arc::default(),
             peer_work: HashMap::new(),
         });
         f(speed)
--- a/crates/anvilhook-gateway/tests/decisions.rs
+++ b/crates/anvilhook-gateway/tests/decisions.rs
@@ -225,7 +225,7 @@
 }
 
 fn plan_by(
-    far_news_ms: f64,
+    far_update_delay_ms: f64,
     fleet: &Fleet,
     caches: &CacheIndex,
     prompt: &Prompt,
@@ -238,7 +238,7 @@
         speed: &speed,
         output_ms: 300.0,
         zone: "zone-a",
-        far_news_ms,
+        far_update_delay_ms,
         now: Millis(1_000),
     };
     let engine = engine_spec();
@@ -281,7 +281,8 @@
     let long = prompt(3_000, 1);
     let hold =
         |id: &str, ms| Held::with_work(Arc::clone(fleet.view().get(id).expect("listed")), ms, 0.0);
-    let of = |far_news_ms| reader_of(plan_by(far_news_ms, &fleet, &caches, &long, &[]));
+    let of =
+        |far_update_delay_ms| reader_of(plan_by(far_update_delay_ms, &fleet, &caches, &long, &[]));
     let _first = hold("p1", 60.0);
     assert_ne!(of(120.0), "p3", "another one of the zone is idle");
 
@@ -319,14 +320,14 @@
         avoid: &[],
         suspect: None,
     };
-    let chosen = |far_news_ms| {
+    let chosen = |far_update_delay_ms| {
         let placer = Placer {
             view: &view,
             caches: &caches,
             speed: &speed,
             output_ms: 300.0,
             zone: "zone-a",
-            far_news_ms,
+            far_update_delay_ms,
             now: Millis(1_000),
         };
         let reader = view.get("p1").expect("listed");
@@ -356,7 +357,7 @@
         speed: &speed,
         output_ms: 300.0,
         zone: "zone-a",
-        far_news_ms: 0.0,
+        far_update_delay_ms: 0.0,
         now: Millis(1_000),
     };
     let of = |suspect| {
