--- a/crates/anvilhook-gateway/src/loads.rs
+++ b/crates/anvilhook-gateway/src/loads.rs
@@ -33,7 +33,7 @@
 pub struct Work {
     /// Requests in flight.
     pub in_flight: u32,
-    /// The time to read the prompts that have not been read yet, in milliseconds of the engine's work.
+    /// The time to read (prefill) the prompts that are not read yet, in milliseconds of the engine's work.
     pub reading_ms: f64,
     /// The time to fetch the KV caches that have not been fetched yet, in milliseconds of the engine's link.
     pub fetching_ms: f64,
--- a/crates/anvilhook-gateway/src/prompts.rs
+++ b/crates/anvilhook-gateway/src/prompts.rs
@@ -1,4 +1,4 @@
-//! What a request says of its prompt.
+//! Describes the prompt of a request: its parts and its length.
 
 /// `Part` is a part of a prompt that other requests may share.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
@@ -9,14 +9,14 @@
     pub tokens: u32,
 }
 
-/// `Prompt` is the work that a request asks of a model engine.
+/// `Prompt` is the work that a request requires of a model engine.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Prompt {
     /// The parts in order. The last one is the request's own.
     pub parts: Vec<Part>,
     /// The prompt's whole length in tokens.
     pub tokens: u32,
-    /// The most tokens to be generated.
+    /// The maximum number of tokens to be generated.
     pub max_output: u32,
 }
 
--- a/crates/anvilhook-gateway/src/suspects.rs
+++ b/crates/anvilhook-gateway/src/suspects.rs
@@ -1,4 +1,7 @@
-//! Suspects: requests under which engines have ended, as this instance holds them and tells the others.
+//! Tracks suspects: requests that engines were running when they terminated.
+//!
+//! This instance records its own observations, queues them as updates for the other instances, and applies
+//! updates from them.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -13,43 +16,44 @@
 
 use crate::hashes::hash_of;
 
-/// How long after it was first told news is told again, so that a lost datagram does not lose it.
-const TOLD_AGAIN_AFTER: [Millis; 2] = [Millis(200), Millis(800)];
+/// The delays after which an update is sent again, each from the previous sending, so that the loss of a
+/// datagram does not lose the update.
+const RESEND_AFTER: [Millis; 2] = [Millis(200), Millis(800)];
 
-/// The span over which instances spread their word that a request runs well.
+/// The span over which instances spread their updates that a request has completed successfully.
 const CLEARANCE_SPREAD: Millis = Millis(2_000);
 
-/// The most news that waits to be told. Older news is dropped for it.
+/// The maximum number of updates that wait to be sent. Beyond it, the oldest one is dropped.
 const MAX_WAITING: usize = 512;
 
-/// The most runs of one engine that are held until it is known whether it has ended.
+/// The maximum number of runs of one engine that are stored until it is known whether it has terminated.
 const MAX_RUNS: usize = 256;
 
-/// The most requests of which the instances are told again and again while they are suspected, and the least
-/// ends that speak against each.
-const MAX_STANDING: usize = 4;
-const STANDING_ENDS: usize = 2;
+/// The maximum number of requests whose recorded ends are published repeatedly while they are suspected, and
+/// the minimum number of ends of each.
+const MAX_ACTIVE: usize = 4;
+const MIN_ACTIVE_ENDS: usize = 2;
 
-/// `SuspectUpdate` is what one instance tells another of a request.
+/// `SuspectUpdate` is an update on a request that one instance sends to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct SuspectUpdate {
     /// The request.
     pub request: Fingerprint,
-    /// What has become of it.
+    /// What happened to the request.
     pub fate: SuspectEvent,
 }
 
-/// `SuspectEvent` is what has become of a request's run.
+/// `SuspectEvent` is what happened to a request.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum SuspectEvent {
-    /// An engine ended while it ran the request.
+    /// An engine terminated while it ran the request.
     Ended {
-        /// The short form of the engine's id and start.
+        /// The hash of the engine's id and start.
         engine: u32,
-        /// How long ago that was noted, in milliseconds.
+        /// How long ago that was recorded, in milliseconds.
         age_ms: u32,
     },
-    /// The run ended well.
+    /// A run of the request completed successfully.
     RanWell,
     /// An operator has lifted the quarantine.
     Lifted,
@@ -61,13 +65,13 @@
         Self { request, fate: SuspectEvent::Ended { engine: end.engine, age_ms } }
     }
 
-    /// Returns whether another one says the same, whenever it was told.
+    /// Returns whether another update has the same content, regardless of its age.
     pub(crate) fn is_same(&self, other: &SuspectUpdate) -> bool {
         self.request == other.request
             && self.fate.after(Millis::MAX) == other.fate.after(Millis::MAX)
     }
 
-    /// Returns the news as it is after a time.
+    /// Returns the update as it is after a time, with its age increased.
     pub(crate) fn after(&self, time: Millis) -> Self {
         Self { request: self.request, fate: self.fate.after(time) }
     }
@@ -85,45 +89,46 @@
     }
 }
 
-/// `Interruption` is how a run at an engine broke off.
+/// `Interruption` is how a run at an engine was interrupted.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Interruption {
     /// The connection broke.
     Broken,
-    /// Nothing came any more.
+    /// The engine sent nothing any more.
     Silent,
 }
 
-/// `Suspects` is the suspected requests, and the engines whose runs broke and that are looked at.
+/// `Suspects` holds the suspected requests, and the engines with interrupted runs that are being checked.
 #[derive(Debug)]
 pub struct Suspects {
-    book: Mutex<QuarantineTracker>,
-    /// What ran at engines of which it is not known yet whether they have ended.
+    tracker: Mutex<QuarantineTracker>,
+    /// The interrupted runs of engines that are being checked, because it is unknown whether they have
+    /// terminated.
     examined: Mutex<HashMap<u32, Vec<(Fingerprint, Interruption)>>>,
-    /// The suspects that are on trial, each at one engine.
+    /// The suspects that run now, each at one engine.
     trials: Mutex<HashSet<Fingerprint>>,
-    news: Mutex<VecDeque<Waiting>>,
-    /// Whether there may be anything to look up. Nearly always there is nothing.
+    updates: Mutex<VecDeque<Waiting>>,
+    /// Whether anything may be recorded. Usually nothing is, and the locks need not be taken.
     has_any: AtomicBool,
 }
 
-/// `Waiting` is news that is still to be told, first or again.
+/// `Waiting` is an update that waits to be sent, for the first time or again.
 #[derive(Debug)]
 struct Waiting {
-    news: SuspectUpdate,
-    noted_at: Millis,
+    update: SuspectUpdate,
+    recorded_at: Millis,
     due_at: Millis,
-    times_told: usize,
+    times_sent: usize,
 }
 
 impl Waiting {
-    /// Returns whether it says the same as another one's news, and nobody was told yet.
-    fn is_untold(&self, news: &SuspectUpdate) -> bool {
-        self.times_told == 0 && self.news.is_same(news)
+    /// Returns whether this update has the same content as another one and has not been sent yet.
+    fn is_unsent_copy(&self, update: &SuspectUpdate) -> bool {
+        self.times_sent == 0 && self.update.is_same(update)
     }
 }
 
-/// `Trial` is a suspect's run. Until it is dropped no other run of the same request begins here.
+/// `Trial` is a suspect's run. Until it is dropped, no other run of the same request begins at this instance.
 #[derive(Debug)]
 pub(crate) struct Trial {
     suspects: Arc<Suspects>,
@@ -137,29 +142,29 @@
 }
 
 impl Suspects {
-    /// Makes the suspects of an instance that has heard of none.
+    /// Creates a tracker without suspects.
     pub fn new() -> Self {
         Self {
-            book: Mutex::new(QuarantineTracker::new(QuarantineOptions::default())),
+            tracker: Mutex::new(QuarantineTracker::new(QuarantineOptions::default())),
             examined: Mutex::default(),
             trials: Mutex::default(),
-            news: Mutex::default(),
+            updates: Mutex::default(),
             has_any: AtomicBool::new(false),
         }
     }
 
-    /// Returns what is held of a request, and how many more engines may end under it until it is
-    /// quarantined. Engines that are still being looked at count as ended.
+    /// Returns the status of a request, and how many more engines may terminate while running it until it is
+    /// quarantined. Engines that are being checked after a broken connection count as terminated.
     pub(crate) fn status(&self, request: Fingerprint, now: Millis) -> (SuspectStatus, usize) {
         if !self.has_any.load(Ordering::Acquire) {
             return (SuspectStatus::Clear, usize::MAX);
         }
-        let book = lock(&self.book);
-        let known = book.status(request, now);
-        if known == SuspectStatus::Quarantined || book.has_recent_success(request, now) {
+        let tracker = lock(&self.tracker);
+        let known = tracker.status(request, now);
+        if known == SuspectStatus::Quarantined || tracker.has_recent_success(request, now) {
             return (known, usize::MAX);
         }
-        let ends = book.ends(request, now);
+        let ends = tracker.ends(request, now);
         let is_new = |engine: &u32| !ends.iter().any(|end| end.engine == *engine);
         let examined = lock(&self.examined);
         let broken = examined.iter().filter(|(engine, runs)| {
@@ -168,36 +173,37 @@
         match ends.len() + broken.count() {
             0 => (SuspectStatus::Clear, usize::MAX),
             ends => {
-                let left = book.needed_ends(request, now).saturating_sub(ends);
+                let left = tracker.needed_ends(request, now).saturating_sub(ends);
                 (SuspectStatus::Suspected(ends), left)
             }
         }
     }
 
-    /// Returns where a suspect is to be tried, if it is to be tried apart from others.
+    /// Returns the slot in which a suspect is to be tried, if it must be tried apart from other suspects.
     pub(crate) fn trial_slot(&self, request: Fingerprint, now: Millis) -> Option<TrialSlot> {
-        lock(&self.book).trial_slot(request, now)
+        lock(&self.tracker).trial_slot(request, now)
     }
 
-    /// Returns the ends that speak against a request.
+    /// Returns the recorded engine ends of a request.
     pub fn ends(&self, request: Fingerprint, now: Millis) -> Vec<EngineEnd> {
-        lock(&self.book).ends(request, now).to_vec()
+        lock(&self.tracker).ends(request, now).to_vec()
     }
 
-    /// Returns the suspected requests with what speaks against each.
+    /// Returns the suspected requests, each with its status and its recorded engine ends.
     pub fn list(&self, now: Millis) -> Vec<(Fingerprint, SuspectStatus, Vec<EngineEnd>)> {
-        let book = lock(&self.book);
-        let suspects = book.suspects(now);
-        suspects.map(|(one, ends)| (one, book.status(one, now), ends.to_vec())).collect()
+        let tracker = lock(&self.tracker);
+        let suspects = tracker.suspects(now);
+        suspects.map(|(one, ends)| (one, tracker.status(one, now), ends.to_vec())).collect()
     }
 
-    /// Begins a suspect's run; `None` if one is under way, of it or of one that shared all its ends.
+    /// Begins a suspect's run. Returns `None` if a run of it or of one of its rivals is in progress. Rivals ran
+    /// at the same engines when these terminated, so it is unknown which of them is the cause.
     pub(crate) fn begin_trial(
         self: &Arc<Self>,
         request: Fingerprint,
         now: Millis,
     ) -> Option<Trial> {
-        let rivals = lock(&self.book).rivals(request, now);
+        let rivals = lock(&self.tracker).rivals(request, now);
         let mut trials = lock(&self.trials);
         if rivals.iter().any(|rival| trials.contains(rival)) || !trials.insert(request) {
             return None;
@@ -205,7 +211,8 @@
         Some(Trial { suspects: Arc::clone(self), request })
     }
 
-    /// Notes that a run broke off at an engine. Returns whether the engine is not looked at yet.
+    /// Records that a run was interrupted at an engine. Returns whether the engine was not being checked
+    /// before.
     pub fn record_interruption(
         &self,
         engine: u32,
@@ -222,79 +229,80 @@
         is_first
     }
 
-    /// Returns whether the connection of one of an engine's runs broke.
+    /// Returns whether the connection of at least one of an engine's runs broke.
     pub(crate) fn has_broken(&self, engine: u32) -> bool {
         let examined = lock(&self.examined);
         let runs = examined.get(&engine);
         runs.is_some_and(|runs| runs.iter().any(|(_, how)| *how == Interruption::Broken))
     }
 
-    /// Ends the look at an engine that has not ended.
+    /// Ends the check of an engine that has not terminated.
     pub(crate) fn dismiss(&self, engine: u32) {
         lock(&self.examined).remove(&engine);
     }
 
-    /// Ends the look at an engine that has ended, and returns those that ran there with what became of
-    /// each. The others are told.
+    /// Ends the check of an engine that has terminated. Returns the requests that ran there with the outcome
+    /// of recording the end against each, and queues updates for the other instances.
     pub fn confirm_end(&self, engine: u32, now: Millis) -> Vec<(Fingerprint, EndOutcome)> {
         let mut runs = lock(&self.examined).remove(&engine).unwrap_or_default();
         runs.sort_unstable_by_key(|(request, _)| *request);
         runs.dedup_by_key(|(request, _)| *request);
-        let mut book = lock(&self.book);
-        let weighed: Vec<_> = runs
+        let mut tracker = lock(&self.tracker);
+        let outcomes: Vec<_> = runs
             .into_iter()
             .map(|(request, _)| {
-                (request, book.record_end(request, EngineEnd { engine, at: now }, now))
+                (request, tracker.record_end(request, EngineEnd { engine, at: now }, now))
             })
             .collect();
-        drop(book);
-        for (request, _) in weighed.iter().filter(|(_, weighed)| *weighed != EndOutcome::Ignored) {
-            self.tell(SuspectUpdate::ended(*request, &EngineEnd { engine, at: now }, now), now);
+        drop(tracker);
+        for (request, _) in outcomes.iter().filter(|(_, outcome)| *outcome != EndOutcome::Ignored) {
+            self.queue(SuspectUpdate::ended(*request, &EngineEnd { engine, at: now }, now), now);
         }
-        weighed
+        outcomes
     }
 
-    /// Notes that a request's run has ended well.
+    /// Records that a run of a request has completed successfully.
     pub(crate) fn record_success(&self, request: Fingerprint, now: Millis) {
-        if lock(&self.book).record_success(request, now) {
-            self.tell(SuspectUpdate { request, fate: SuspectEvent::RanWell }, now);
+        if lock(&self.tracker).record_success(request, now) {
+            self.queue(SuspectUpdate { request, fate: SuspectEvent::RanWell }, now);
         }
     }
 
-    /// Notes that a quarantined request has come again.
+    /// Records that a quarantined request has arrived again.
     pub(crate) fn record_arrival(&self, request: Fingerprint, now: Millis) {
-        lock(&self.book).record_arrival(request, now);
+        lock(&self.tracker).record_arrival(request, now);
     }
 
-    /// Lifts a quarantine, here and at the others. Returns whether anything spoke against the request.
+    /// Lifts a quarantine at this and the other instances. Returns whether the request was suspected.
     pub fn lift(&self, request: Fingerprint, now: Millis) -> bool {
-        let is_known = lock(&self.book).lift(request, now);
-        self.tell(SuspectUpdate { request, fate: SuspectEvent::Lifted }, now);
+        let is_known = lock(&self.tracker).lift(request, now);
+        self.queue(SuspectUpdate { request, fate: SuspectEvent::Lifted }, now);
         is_known
     }
 
-    /// Takes in what another instance tells; `own` is this instance's number. Returns whether the request
-    /// is quarantined by it.
-    pub(crate) fn apply(&self, news: &SuspectUpdate, own: u64, now: Millis) -> bool {
-        let request = news.request;
-        let mut book = lock(&self.book);
-        match news.fate {
+    /// Applies an update from another instance; `own` is this instance's number. Returns whether the update
+    /// quarantines the request.
+    pub(crate) fn apply(&self, update: &SuspectUpdate, own: u64, now: Millis) -> bool {
+        let request = update.request;
+        let mut tracker = lock(&self.tracker);
+        match update.fate {
             SuspectEvent::RanWell => {
-                book.record_success(request, now);
-                drop(book);
-                lock(&self.news).retain(|waiting| !waiting.is_untold(news));
+                tracker.record_success(request, now);
+                drop(tracker);
+                lock(&self.updates).retain(|waiting| !waiting.is_unsent_copy(update));
                 false
             }
             SuspectEvent::Lifted => {
-                book.lift(request, now);
+                tracker.lift(request, now);
                 false
             }
-            SuspectEvent::Ended { .. } if book.has_recent_success(request, now) => {
-                drop(book);
-                // Whoever suspects it has not heard that it runs well. Hundreds may know that it does; the
-                // first to say so spares the others.
+            SuspectEvent::Ended { .. } if tracker.has_recent_success(request, now) => {
+                drop(tracker);
+                // The sender does not know that the request completed successfully. Hundreds of instances may
+                // know it, so each waits for a different time: once the first one has sent its update, the
+                // others need not.
                 let delay = Millis(hash_of(&(own, request)) % CLEARANCE_SPREAD.0);
-                self.tell_at(
+                self.queue_at(
                     SuspectUpdate { request, fate: SuspectEvent::RanWell },
                     now,
                     now + delay,
@@ -304,61 +312,65 @@
             SuspectEvent::Ended { engine, age_ms } => {
                 self.has_any.store(true, Ordering::Release);
                 let end = EngineEnd { engine, at: now - Millis(u64::from(age_ms)) };
-                book.record_end(request, end, now) == EndOutcome::Quarantined
+                tracker.record_end(request, end, now) == EndOutcome::Quarantined
             }
         }
     }
 
-    fn tell(&self, news: SuspectUpdate, now: Millis) {
-        self.tell_at(news, now, now);
+    fn queue(&self, update: SuspectUpdate, now: Millis) {
+        self.queue_at(update, now, now);
     }
 
-    fn tell_at(&self, news: SuspectUpdate, noted_at: Millis, due_at: Millis) {
-        let mut waiting = lock(&self.news);
-        if waiting.iter().any(|waiting| waiting.news.is_same(&news)) {
+    fn queue_at(&self, update: SuspectUpdate, recorded_at: Millis, due_at: Millis) {
+        let mut waiting = lock(&self.updates);
+        if waiting.iter().any(|waiting| waiting.update.is_same(&update)) {
             return;
         }
         if waiting.len() >= MAX_WAITING {
             waiting.pop_front();
         }
-        waiting.push_back(Waiting { news, noted_at, due_at, times_told: 0 });
+        waiting.push_back(Waiting { update, recorded_at, due_at, times_sent: 0 });
     }
 
-    /// Takes the news that is to be told now, `most` at the most.
-    pub(crate) fn take_due(&self, most: usize, now: Millis) -> Vec<SuspectUpdate> {
-        let mut waiting = lock(&self.news);
+    /// Takes the updates that are to be sent now, at most `max`.
+    pub(crate) fn take_due(&self, max: usize, now: Millis) -> Vec<SuspectUpdate> {
+        let mut waiting = lock(&self.updates);
         let mut due = Vec::new();
-        for one in waiting.iter_mut().filter(|one| one.due_at <= now).take(most) {
-            due.push(one.news.after(now - one.noted_at));
-            let next = TOLD_AGAIN_AFTER.get(one.times_told);
+        for one in waiting.iter_mut().filter(|one| one.due_at <= now).take(max) {
+            due.push(one.update.after(now - one.recorded_at));
+            let next = RESEND_AFTER.get(one.times_sent);
             one.due_at = next.map_or(Millis::MAX, |after| now + *after);
-            one.times_told += 1;
+            one.times_sent += 1;
         }
         waiting.retain(|one| one.due_at < Millis::MAX);
         due
     }
 
-    /// Returns what tells of the requests with the most against them.
+    /// Returns updates with the recorded ends of the requests that have the most of them.
     pub(crate) fn active_updates(&self, now: Millis) -> Vec<SuspectUpdate> {
-        let book = lock(&self.book);
+        let tracker = lock(&self.tracker);
         let mut worst: Vec<_> =
-            book.suspects(now).filter(|(_, ends)| ends.len() >= STANDING_ENDS).collect();
+            tracker.suspects(now).filter(|(_, ends)| ends.len() >= MIN_ACTIVE_ENDS).collect();
         worst.sort_by_key(|(request, ends)| (std::cmp::Reverse(ends.len()), *request));
-        worst.truncate(MAX_STANDING);
-        worst.into_iter().flat_map(|(request, ends)| ended_news(request, ends, now)).collect()
+        worst.truncate(MAX_ACTIVE);
+        worst.into_iter().flat_map(|(request, ends)| ended_updates(request, ends, now)).collect()
     }
 
-    /// Returns what tells of all suspected requests, for an instance that has just started.
+    /// Returns updates with the recorded ends of all suspected requests, for an instance that has just
+    /// started.
     pub(crate) fn all_updates(&self, now: Millis) -> Vec<SuspectUpdate> {
-        let book = lock(&self.book);
-        book.suspects(now).flat_map(|(request, ends)| ended_news(request, ends, now)).collect()
+        let tracker = lock(&self.tracker);
+        tracker
+            .suspects(now)
+            .flat_map(|(request, ends)| ended_updates(request, ends, now))
+            .collect()
     }
 
-    /// Returns how many requests are suspected and how many quarantined.
+    /// Returns how many requests are suspected, including quarantined ones, and how many are quarantined.
     pub fn counts(&self, now: Millis) -> (usize, usize) {
         let suspected = self.list(now);
-        let is_quarantined = |standing: &SuspectStatus| *standing == SuspectStatus::Quarantined;
-        let quarantined = suspected.iter().filter(|(_, standing, _)| is_quarantined(standing));
+        let is_quarantined = |status: &SuspectStatus| *status == SuspectStatus::Quarantined;
+        let quarantined = suspected.iter().filter(|(_, status, _)| is_quarantined(status));
         (suspected.len(), quarantined.count())
     }
 }
@@ -369,7 +381,7 @@
     }
 }
 
-fn ended_news(request: Fingerprint, ends: &[EngineEnd], now: Millis) -> Vec<SuspectUpdate> {
+fn ended_updates(request: Fingerprint, ends: &[EngineEnd], now: Millis) -> Vec<SuspectUpdate> {
     ends.iter().map(|end| SuspectUpdate::ended(request, end, now)).collect()
 }
 
--- a/crates/anvilhook-gateway/src/texts.rs
+++ b/crates/anvilhook-gateway/src/texts.rs
@@ -1,10 +1,10 @@
-//! Texts for logs.
+//! Bounds the length of external texts in logs.
 
-/// The longest part of a foreign text in a line of the log, in bytes.
-const MAX_FOREIGN_BYTES: usize = 300;
+/// The maximum length of an external text in a log line, in bytes.
+const MAX_EXTERNAL_BYTES: usize = 300;
 
-/// Returns the beginning of a text that somebody else wrote. A row may hold a name of any length, and the
-/// line that tells of it would take the place of many others.
+/// Returns the beginning of a text from outside this process. A row may contain a name of any length, and a
+/// log line with all of it would displace many others.
 pub(crate) fn bounded(text: &str) -> &str {
-    &text[..text.floor_char_boundary(MAX_FOREIGN_BYTES)]
+    &text[..text.floor_char_boundary(MAX_EXTERNAL_BYTES)]
 }
--- a/crates/anvilhook-gateway/src/usage.rs
+++ b/crates/anvilhook-gateway/src/usage.rs
@@ -1,4 +1,4 @@
-//! Usage of client accounts, as this instance counts it and hears it from others.
+//! Counts the usage of client accounts, and merges the counts that other instances publish.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -11,27 +11,28 @@
 
 use crate::hashes::hash_of;
 
-/// How long after its end a window's sums are told again, in case that some were lost.
-const TOLD_AGAIN_AFTER: Millis = Millis(800);
+/// How long after its end a window's sums are sent again, in case some were lost.
+const RESEND_AFTER: Millis = Millis(800);
 
-/// The most accounts of which one datagram tells.
-pub(crate) const MOST_TOLD: usize = 90;
+/// The maximum number of accounts in one datagram.
+pub(crate) const MAX_UPDATE_ACCOUNTS: usize = 90;
 
-/// The most names of accounts that are remembered; an account may be gone when its usage is reported.
-const MOST_NAMES: usize = 8_192;
+/// The maximum number of account names that are retained. An account may already have been removed when its
+/// usage is reported.
+const MAX_NAMES: usize = 8_192;
 
-/// `UsageUpdate` is what one instance tells another of usage.
+/// `UsageUpdate` is an update on usage that one instance sends to another.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct UsageUpdate {
     /// The time by the sender's own clock.
     pub time: WallTime,
-    /// The last window whose report was accepted, 0 if none is known.
+    /// The last window whose report was accepted, or 0 if none is known.
     pub reported: u64,
-    /// How many requests of accounts began in some windows.
+    /// The numbers of requests that began, by window and account.
     pub windows: Vec<WindowCounts>,
 }
 
-/// `Usage` counts what begins to run, if usage is to be reported.
+/// `Usage` counts the requests that begin to run, if usage is to be reported.
 #[derive(Debug)]
 pub struct Usage {
     windows: Option<Windows>,
@@ -40,21 +41,22 @@
 
 #[derive(Debug)]
 struct State {
-    book: UsageCounters,
+    counters: UsageCounters,
     names: HashMap<AccountCode, Arc<str>>,
     clocks: ClockOffsets,
-    told_again: u64,
+    last_resent: u64,
     reported: u64,
 }
 
 impl Usage {
-    /// Makes a count by windows of a length, at the time of day `time`; nothing is counted without windows.
+    /// Creates counts by windows of the length `window`, at the time of day `time`. Without a length, nothing
+    /// is counted.
     pub fn new(window: Option<Millis>, time: WallTime, now: Millis) -> Self {
         let state = State {
-            book: UsageCounters::new(),
+            counters: UsageCounters::new(),
             names: HashMap::new(),
             clocks: ClockOffsets::new(time, now),
-            told_again: 0,
+            last_resent: 0,
             reported: 0,
         };
         Self { windows: window.map(Windows::of), state: Mutex::new(state) }
@@ -64,7 +66,7 @@
         self.state.lock().expect("no panic under this lock")
     }
 
-    /// Returns the windows by which is counted, if any.
+    /// Returns the windows by which requests are counted, if any.
     pub fn windows(&self) -> Option<Windows> {
         self.windows
     }
@@ -74,92 +76,91 @@
         self.state().clocks.time(now)
     }
 
-    /// Notes names of accounts, which reports name.
+    /// Records names of accounts for use in reports.
     pub(crate) fn learn_names<'n>(&self, names: impl Iterator<Item = &'n Arc<str>>) {
         if self.windows.is_none() {
             return;
         }
         let mut state = self.state();
         for name in names {
-            if state.names.len() < MOST_NAMES {
+            if state.names.len() < MAX_NAMES {
                 state.names.insert(code_of(name), Arc::clone(name));
             }
         }
     }
 
-    /// Counts a request of an account that began to run at `began_at` for this instance, which is `own`.
+    /// Counts a request of an account that began to run at `began_at`. `own` identifies this instance.
     pub fn count(&self, own: Source, account: &ClientAccount, began_at: Millis) {
         let Some(windows) = self.windows else { return };
         let mut state = self.state();
         let window = windows.at(state.clocks.time(began_at));
-        state.book.count(own, code_of(&account.name), window);
+        state.counters.count(own, code_of(&account.name), window);
     }
 
-    /// Takes in what another instance, or one that tells for its availability zone, has counted.
-    pub(crate) fn merge(&self, from: Source, news: &UsageUpdate, now: Millis) {
+    /// Merges the counts of another instance, or those of an availability zone from its zone leader.
+    pub(crate) fn merge(&self, from: Source, update: &UsageUpdate, now: Millis) {
         let Some(windows) = self.windows else { return };
         let mut state = self.state();
         if let Source::Instance { number, .. } = from {
-            state.clocks.record(number, news.time, now);
+            state.clocks.record(number, update.time, now);
         }
         let current = windows.at(state.clocks.time(now));
-        state.book.merge(from, &news.windows, current);
-        // No report of a window that is yet to end can have been accepted.
-        if news.reported < current {
-            state.reported = state.reported.max(news.reported);
+        state.counters.merge(from, &update.windows, current);
+        // The report of a window that has not ended yet can't have been accepted.
+        if update.reported < current {
+            state.reported = state.reported.max(update.reported);
         }
     }
 
-    /// Takes what others are to be told of this instance's own counts, if anything.
+    /// Takes the changes of this instance's own counts that are to be sent to the others, if any.
     pub(crate) fn take_update(&self, now: Millis) -> Option<UsageUpdate> {
         let windows = self.windows?;
         let mut state = self.state();
-        let ended =
-            windows.at(WallTime(state.clocks.time(now).0.saturating_sub(TOLD_AGAIN_AFTER.0)));
+        let ended = windows.at(WallTime(state.clocks.time(now).0.saturating_sub(RESEND_AFTER.0)));
         let last_ended = ended.saturating_sub(1);
-        if state.told_again < last_ended {
-            state.told_again = last_ended;
-            state.book.resend(Some(last_ended));
+        if state.last_resent < last_ended {
+            state.last_resent = last_ended;
+            state.counters.resend(Some(last_ended));
         }
-        let changes = state.book.take_changes(MOST_TOLD);
-        (!changes.is_empty()).then(|| state.news(changes, now))
+        let changes = state.counters.take_changes(MAX_UPDATE_ACCOUNTS);
+        (!changes.is_empty()).then(|| state.update(changes, now))
     }
 
-    /// Has all own counts told, to somebody new.
+    /// Marks all own counts to be sent again, for an instance that is new.
     pub(crate) fn resend_all(&self) {
-        self.state().book.resend(None);
+        self.state().counters.resend(None);
     }
 
-    /// Returns what other availability zones are to be told of an availability zone.
+    /// Returns the updates on an availability zone that are to be sent to the other ones.
     pub(crate) fn zone_updates(&self, zone: u32, now: Millis) -> Vec<UsageUpdate> {
         if self.windows.is_none() {
             return Vec::new();
         }
         let state = self.state();
-        let pieces = state.book.zone_counts(zone, MOST_TOLD).into_iter();
+        let pieces = state.counters.zone_counts(zone, MAX_UPDATE_ACCOUNTS).into_iter();
         let unreported = pieces.filter(|piece| piece.window > state.reported);
-        let mut news: Vec<_> = unreported.map(|piece| state.news(vec![piece], now)).collect();
-        if news.is_empty() {
-            news.push(state.news(Vec::new(), now));
+        let mut updates: Vec<_> = unreported.map(|piece| state.update(vec![piece], now)).collect();
+        if updates.is_empty() {
+            updates.push(state.update(Vec::new(), now));
         }
-        news
+        updates
     }
 
-    /// Returns the sums of a window over all instances, by the accounts' names.
+    /// Returns the sums of a window over all instances, by account name.
     pub fn totals(&self, window: u64) -> Vec<(Arc<str>, u32)> {
         let state = self.state();
-        let totals = state.book.totals(window).into_iter();
+        let totals = state.counters.totals(window).into_iter();
         let named =
             totals.filter_map(|(code, count)| Some((state.names.get(&code)?.clone(), count)));
         named.collect()
     }
 
-    /// Returns the last window whose report was accepted, as far as is known.
+    /// Returns the last window whose report is known to have been accepted, or 0 if none is known.
     pub fn reported(&self) -> u64 {
         self.state().reported
     }
 
-    /// Notes that the report of a window was accepted.
+    /// Records that the report of a window was accepted, or that the window needs no report any more.
     pub(crate) fn record_reported(&self, window: u64) {
         let mut state = self.state();
         state.reported = state.reported.max(window);
@@ -167,7 +168,7 @@
 }
 
 impl State {
-    fn news(&self, windows: Vec<WindowCounts>, now: Millis) -> UsageUpdate {
+    fn update(&self, windows: Vec<WindowCounts>, now: Millis) -> UsageUpdate {
         UsageUpdate { time: self.clocks.own_time(now), reported: self.reported, windows }
     }
 }
