--- a/crates/anvilhook-core/benches/decisions.rs
+++ b/crates/anvilhook-core/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What one choice of an engine and one plan of roles cost, with the allocations of a choice.
+//! Measures the time of one engine choice and of one role plan, and counts the allocations of choices.
 
 use std::alloc::System;
 use std::hint::black_box;
@@ -20,10 +20,10 @@
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-/// The choices over which allocations are counted.
-const COUNTED: usize = 10_000;
+/// The number of choices over which allocations are counted.
+const COUNTED_CHOICES: usize = 10_000;
 
-/// The blocks of a long prompt's prefix.
+/// The number of blocks in a long prompt's prefix.
 const BLOCKS: u64 = 32;
 
 const NOW: Millis = Millis(60_000);
@@ -54,10 +54,10 @@
 fn table(engines: usize) -> RouteTable {
     let zone = ZoneName::try_new("piraeus").expect("a valid name");
     let index = Arc::new(PrefixIndex::new(engines, engines * 4_096));
-    let upstream = |place: usize| {
+    let upstream = |position: usize| {
         let address = ([127, 0, 0, 1], 1).into();
-        let state = UpstreamState::new(engine_name(place), address, zone.clone());
-        state.set_cache_slot(CacheSlot(place as u16));
+        let state = UpstreamState::new(engine_name(position), address, zone.clone());
+        state.set_cache_slot(CacheSlot(position as u16));
         state.apply_report(&report(), NOW);
         for sent in 0..20 {
             let work = Work::new(Tokens(500), Tokens(150), Millis(8_000));
@@ -94,11 +94,13 @@
             let table = table(engines);
             let mut rng = ChaCha8Rng::seed_from_u64(1);
             let region = Region::new(ALLOCATOR);
-            for _ in 0..COUNTED {
+            for _ in 0..COUNTED_CHOICES {
                 black_box(table.choose(black_box(&req), &[], NOW, &mut rng));
             }
             let allocations = region.change().allocations;
-            println!("{kind}, {engines} engines: {allocations} allocations in {COUNTED} choices");
+            println!(
+                "{kind}, {engines} engines: {allocations} allocations in {COUNTED_CHOICES} choices"
+            );
             group.bench_function(BenchmarkId::from_parameter(engines), |b| {
                 b.iter(|| black_box(table.choose(black_box(&req), &[], NOW, &mut rng)));
             });
@@ -125,7 +127,7 @@
             })
             .collect();
         let mut planner = RolePlanner::new(PlanOptions::new(policy.clone()));
-        // All mixes that are told apart have been seen.
+        // Records all twelve mixes before the measurement, so that the planner knows each of them.
         for step in 0..240 {
             let reading = f64::from(step % 12) * engines as f64;
             let patient =
--- a/crates/anvilhook-core/tests/authority_search/main.rs
+++ b/crates/anvilhook-core/tests/authority_search/main.rs
@@ -1,5 +1,7 @@
-//! A bounded exhaustive search over the lease-and-order state machine: two instances, one engine of
-//! each kind, a pause anywhere, a lost answer, a killed holder, a crashed engine.
+//! Searches the state machine of leases and orders exhaustively, within bounds.
+//!
+//! The cases have two or three instances and engines that check fencing tokens or ignore them.
+//! Instances may pause at any step; answers may be lost, holders killed and engines crashed.
 
 mod steps;
 mod world;
@@ -12,21 +14,21 @@
 use anvilhook_core::units::Millis;
 
 use steps::{Label, steps};
-use world::{Broken, Case, Violation, World};
+use world::{Case, Defect, Violation, World};
 
-/// The most states of one search.
+/// The maximum number of states in one search.
 const MAX_STATES: usize = 3_000_000;
 
-const BOTH: &[Fencing] = &[Fencing::Checks, Fencing::Ignores];
+const BOTH_KINDS: &[Fencing] = &[Fencing::Checks, Fencing::Ignores];
 
 struct Outcome {
     states: usize,
     violation: Option<(Violation, Vec<Label>)>,
-    /// For each engine, whether a successor's order had an effect.
-    successor_obeyed: Vec<bool>,
+    /// For each engine, whether an order from a later holder took effect in any state.
+    successor_applied: Vec<bool>,
 }
 
-/// A hash of 128 bits, wide enough that no two states of a search share one by chance.
+/// `WideHasher` computes a hash of 128 bits, so that no two states of a search collide by chance.
 #[derive(Default)]
 struct WideHasher(u128);
 
@@ -53,40 +55,40 @@
     hasher.0
 }
 
-/// Visits every state, the nearest first, so that the path to a violation is a shortest one.
-fn search(case: &Case, broken: Broken) -> Outcome {
+/// Visits every state in breadth-first order, so that the reported path to a violation is a shortest one.
+fn search(case: &Case, defect: Defect) -> Outcome {
     let start = World::new(case);
-    let mut came_from = HashMap::from([(fingerprint(&start), None)]);
-    let mut open = VecDeque::from([start]);
-    let mut successor_obeyed = vec![false; case.engines.len()];
-    while let Some(world) = open.pop_front() {
-        let here = fingerprint(&world);
-        for (label, next) in steps(&world, case, broken) {
+    let mut parents = HashMap::from([(fingerprint(&start), None)]);
+    let mut queue = VecDeque::from([start]);
+    let mut successor_applied = vec![false; case.engines.len()];
+    while let Some(world) = queue.pop_front() {
+        let current = fingerprint(&world);
+        for (label, next) in steps(&world, case, defect) {
             let next = match next {
                 Ok(next) => next,
                 Err(violation) => {
-                    let mut path = path_to(here, &came_from);
+                    let mut path = path_to(current, &parents);
                     path.push(label);
                     let violation = Some((violation, path));
-                    return Outcome { states: came_from.len(), violation, successor_obeyed };
+                    return Outcome { states: parents.len(), violation, successor_applied };
                 }
             };
-            let Entry::Vacant(entry) = came_from.entry(fingerprint(&next)) else { continue };
-            entry.insert(Some((here, label)));
-            for (obeyed, engine) in successor_obeyed.iter_mut().zip(&next.engines) {
-                *obeyed |= engine.obeyed.0 > 1;
+            let Entry::Vacant(entry) = parents.entry(fingerprint(&next)) else { continue };
+            entry.insert(Some((current, label)));
+            for (applied, engine) in successor_applied.iter_mut().zip(&next.engines) {
+                *applied |= engine.applied_term.0 > 1;
             }
-            open.push_back(next);
+            queue.push_back(next);
         }
-        assert!(came_from.len() <= MAX_STATES, "{}: more than {MAX_STATES} states", case.name);
+        assert!(parents.len() <= MAX_STATES, "{}: more than {MAX_STATES} states", case.name);
     }
-    Outcome { states: came_from.len(), violation: None, successor_obeyed }
+    Outcome { states: parents.len(), violation: None, successor_applied }
 }
 
-fn path_to(end: u128, came_from: &HashMap<u128, Option<(u128, Label)>>) -> Vec<Label> {
+fn path_to(end: u128, parents: &HashMap<u128, Option<(u128, Label)>>) -> Vec<Label> {
     let mut path = Vec::new();
     let mut at = end;
-    while let Some(Some((before, label))) = came_from.get(&at) {
+    while let Some(Some((before, label))) = parents.get(&at) {
         path.push(*label);
         at = *before;
     }
@@ -94,10 +96,10 @@
     path
 }
 
-/// The small case: two holders, one engine of each kind, a pause anywhere, one lost answer.
+/// The smallest case: two instances, one engine of each kind, a pause at any step and one lost answer.
 const PAUSED: Case = Case {
-    name: "a paused holder, one lost answer, both kinds of engines",
-    engines: BOTH,
+    name: "holder paused, one lost answer, both kinds of engines",
+    engines: BOTH_KINDS,
     lengths: &[28, 1_000],
     end: Millis(40),
     renewals: 0,
@@ -111,7 +113,7 @@
 const ONE_CHECKS: &[Fencing] = &[Fencing::Checks];
 const ONE_IGNORES: &[Fencing] = &[Fencing::Ignores];
 
-/// Larger faults, at one engine.
+/// All cases. The ones with more faults have only one engine, to bound the number of states.
 const CASES: [Case; 9] = [
     PAUSED,
     Case { name: "killed, engine checks", engines: ONE_CHECKS, kills: 1, ..PAUSED },
@@ -134,7 +136,7 @@
         ..PAUSED
     },
     Case {
-        name: "two holders in a row paused or killed, engine ignores",
+        name: "two consecutive holders paused or killed, engine ignores",
         engines: ONE_IGNORES,
         lengths: &[28, 58, 1_000],
         end: Millis(70),
@@ -147,38 +149,38 @@
 #[test]
 fn verify_no_interleaving_breaks_the_rules() {
     for case in CASES {
-        let outcome = search(&case, Broken::Nothing);
+        let outcome = search(&case, Defect::None);
 
         println!("{}: {} states", case.name, outcome.states);
         assert_eq!(outcome.violation, None, "{}", case.name);
-        assert!(outcome.successor_obeyed.iter().all(|obeyed| *obeyed), "{}", case.name);
+        assert!(outcome.successor_applied.iter().all(|applied| *applied), "{}", case.name);
     }
 }
 
-/// Symptom: a rule is broken and no test notices.
-/// Sequence: the same search, with one rule broken in the harness around the core's decisions.
-/// Cause: a search that proves too little passes whatever the rules are.
+/// Guards against a search that is too weak to find anything. The harness disables one rule around the
+/// core's decisions, and the search must report the violation that follows from it.
 #[test]
-fn verify_the_search_finds_each_broken_rule() {
-    const AMID: Violation = "an order came amid a different one";
-    const SERVED: Violation = "an order had an effect while the engine served";
-    const LAPSED: Violation = "an instance trusted its lease after another had taken the pool";
-    for (broken, engines, expected) in [
-        (Broken::NoEvidence, ONE_IGNORES, AMID),
-        (Broken::NoLeaseCheck, ONE_CHECKS, LAPSED),
-        (Broken::NoLeaseCheck, ONE_IGNORES, LAPSED),
-        (Broken::NoReadBeforeOrder, ONE_CHECKS, AMID),
-        (Broken::NoReadBeforeOrder, ONE_IGNORES, AMID),
-        (Broken::NoRecordBeforeOrder, ONE_CHECKS, AMID),
-        (Broken::NoRecordBeforeOrder, ONE_IGNORES, SERVED),
-        (Broken::UnmarkedTooEarly, ONE_IGNORES, SERVED),
+fn verify_the_search_finds_each_defect() {
+    const OVERLAPPING: Violation = "an order arrived while a different one was running";
+    const SERVING: Violation = "an order took effect while the engine was serving";
+    const STALE_LEASE: Violation =
+        "an instance relied on its lease after another had taken over the pool";
+    for (defect, engines, expected) in [
+        (Defect::NoEvidence, ONE_IGNORES, OVERLAPPING),
+        (Defect::NoLeaseCheck, ONE_CHECKS, STALE_LEASE),
+        (Defect::NoLeaseCheck, ONE_IGNORES, STALE_LEASE),
+        (Defect::NoReadBeforeOrder, ONE_CHECKS, OVERLAPPING),
+        (Defect::NoReadBeforeOrder, ONE_IGNORES, OVERLAPPING),
+        (Defect::NoRecordBeforeOrder, ONE_CHECKS, OVERLAPPING),
+        (Defect::NoRecordBeforeOrder, ONE_IGNORES, SERVING),
+        (Defect::UnmarkedTooEarly, ONE_IGNORES, SERVING),
     ] {
         let case = Case { engines, ..PAUSED };
 
-        let outcome = search(&case, broken);
+        let outcome = search(&case, defect);
 
-        println!("{broken:?} at {engines:?}: {:?}, {} states", outcome.violation, outcome.states);
+        println!("{defect:?} at {engines:?}: {:?}, {} states", outcome.violation, outcome.states);
         let found = outcome.violation.map(|(violation, _)| violation);
-        assert_eq!(found, Some(expected), "{broken:?} at {engines:?}");
+        assert_eq!(found, Some(expected), "{defect:?} at {engines:?}");
     }
 }
--- a/crates/anvilhook-core/tests/authority_search/world.rs
+++ b/crates/anvilhook-core/tests/authority_search/world.rs
@@ -1,7 +1,7 @@
-//! A small world: two or three instances, the table, engines, and messages that can be late or lost.
+//! Simulates two or three instances, the table, engines, and messages that can be late or lost.
 //!
-//! Every decision is the core's own; the world only carries it out, one step at a time. An instance
-//! that is not given a step is paused, so a pause is possible between any two steps.
+//! The core makes every decision; the world only executes it, one step at a time. An instance that does
+//! not take a step is paused, so a pause is possible between any two steps.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -13,12 +13,12 @@
 use anvilhook_core::resources::Fencing;
 use anvilhook_core::units::Millis;
 
-/// What may happen in a search, and how often.
+/// `Case` bounds which faults and renewals may happen in a search, and how often.
 #[derive(Clone, Copy, Debug)]
 pub struct Case {
     pub name: &'static str,
     pub engines: &'static [Fencing],
-    /// The length of each instance's session; the first holds the pool at the start.
+    /// The length of each instance's session. The first instance holds the pool at the start.
     pub lengths: &'static [u64],
     /// The time at which the search ends.
     pub end: Millis,
@@ -31,10 +31,10 @@
     pub releases: bool,
 }
 
-/// The rules that a search can break.
+/// `Defect` selects the rule that the harness disables in a search.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Broken {
-    Nothing,
+pub enum Defect {
+    None,
     NoEvidence,
     NoLeaseCheck,
     NoReadBeforeOrder,
@@ -44,17 +44,17 @@
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Engine {
-    pub fencing: Fencing2,
+    pub fencing: ChecksFencing,
     pub role: Role,
     pub last_stamp: Stamp,
     pub running: Option<(Stamp, Order)>,
-    /// The highest term whose order had an effect, over restarts.
-    pub obeyed: Term,
+    /// The highest term whose order took effect. It survives restarts of the engine.
+    pub applied_term: Term,
 }
 
-/// `Fencing`, so that it can be hashed.
+/// `ChecksFencing` stands in for `Fencing`, which can't be hashed. It is true for `Fencing::Checks`.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
-pub struct Fencing2(pub bool);
+pub struct ChecksFencing(pub bool);
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub struct Message {
@@ -62,8 +62,8 @@
     pub engine: usize,
     pub stamp: Stamp,
     pub order: Order,
-    /// Set once the sender has closed the connection: it cannot be read from then on.
-    pub gone_at: Option<Millis>,
+    /// Set once the sender has closed the connection. The engine cannot read the message from this time on.
+    pub expires_at: Option<Millis>,
 }
 
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
@@ -73,9 +73,10 @@
     pub uncleared_since: Millis,
 }
 
-/// What an instance does next; between this and the doing of it, it may be paused. An order on which
-/// it has decided is a message at once: while that is under way, nobody can tell whether its sender
-/// is paused before sending it.
+/// `Next` is the step that an instance has chosen. The instance may be paused before it executes the step.
+///
+/// An order becomes a message as soon as it is decided. While the message is in transit, a sender that
+/// is paused before sending can't be distinguished from one that has sent.
 #[derive(Clone, Debug, Eq, Hash, PartialEq)]
 pub enum Next {
     Choose,
@@ -111,13 +112,13 @@
     pub crashes: u8,
 }
 
-/// How far the time moves at once.
+/// The time by which the clock advances in one step.
 pub const TICK: Millis = Millis(10);
 
-/// A rule that a run broke.
+/// `Violation` describes the rule that was violated.
 pub type Violation = &'static str;
 
-/// What each instance wants of all engines.
+/// The role that each instance orders for all engines.
 pub const ROLES: [Role; 3] = [Role::Prefill, Role::Decode, Role::Mixed];
 
 pub fn lease_options() -> LeaseOptions {
@@ -143,7 +144,7 @@
 }
 
 impl World {
-    /// Both instances have opened their sessions, and the first holds the pool.
+    /// Returns the initial world: all instances have opened their sessions, and the first holds the pool.
     pub fn new(case: &Case) -> World {
         let mut sessions: Vec<(Rc<SessionRow>, u64)> = Vec::new();
         let mut instances: Vec<Instance> = Vec::new();
@@ -162,7 +163,7 @@
                 renewals: case.renewals,
             });
         }
-        // All have read the others' sessions once, so that their waits have begun.
+        // Every instance has read all sessions once, so that the waits for their ends have begun.
         for instance in &mut instances {
             for (watch, (row, version)) in instance.watches.iter_mut().zip(&sessions) {
                 watch.observe(row, *version, Millis::ZERO, &lease_options());
@@ -173,11 +174,11 @@
         instances[0].held =
             Some(Held { row: row.clone(), version: 1, uncleared_since: Millis::ZERO });
         let engine = |fencing: &Fencing| Engine {
-            fencing: Fencing2(*fencing == Fencing::Checks),
+            fencing: ChecksFencing(*fencing == Fencing::Checks),
             role: Role::Mixed,
             last_stamp: Stamp::default(),
             running: None,
-            obeyed: Term(0),
+            applied_term: Term(0),
         };
         World {
             now: Millis::ZERO,
@@ -207,30 +208,34 @@
         }
     }
 
-    /// The engine reads a message; returns whether it took the order.
+    /// Delivers a message to its engine. Returns whether the engine accepted the order.
     pub fn deliver(&mut self, message: &Message) -> Result<bool, Violation> {
         let marked = self.pool.0.drains.is_marked(&engine_name(message.engine));
         let engine = &mut self.engines[message.engine];
         if engine.fencing.0 && message.stamp <= engine.last_stamp {
             return Ok(false);
         }
-        if message.stamp.term < engine.obeyed {
-            return Err("an order of an earlier term had an effect after one of a later term");
+        if message.stamp.term < engine.applied_term {
+            return Err("an order of an earlier term took effect after one of a later term");
         }
         if let Some((_, running)) = &engine.running {
             let same = *running == message.order;
-            return if same { Ok(false) } else { Err("an order came amid a different one") };
+            return if same {
+                Ok(false)
+            } else {
+                Err("an order arrived while a different one was running")
+            };
         }
         if !marked {
-            return Err("an order had an effect while the engine served");
+            return Err("an order took effect while the engine was serving");
         }
-        engine.obeyed = message.stamp.term;
+        engine.applied_term = message.stamp.term;
         engine.last_stamp = engine.last_stamp.max(message.stamp);
         engine.running = Some((message.stamp, message.order.clone()));
         Ok(true)
     }
 
-    /// The running order of an engine ends.
+    /// Completes the running order of an engine.
     pub fn finish(&mut self, engine: usize) {
         let engine = &mut self.engines[engine];
         if let Some((_, Order::SetRole { role })) = engine.running.take() {
@@ -238,7 +243,7 @@
         }
     }
 
-    /// An engine's process ends and starts anew in the role that it had before its order.
+    /// Restarts an engine's process in the role that it had before its running order.
     pub fn crash(&mut self, engine: usize) {
         let engine = &mut self.engines[engine];
         engine.running = None;
@@ -247,12 +252,13 @@
         }
     }
 
-    /// Returns the world without what can no longer matter, so that worlds which go on alike are
-    /// counted as one: the exact age of what is older than any bound, versions that are no longer
-    /// current, calls whose order is closed, and what a dead instance knew. Where `lapse` is set, the
-    /// same goes for what a replaced holder knew whose lease has lapsed for good: it gives no order
-    /// any more, and its writes fail.
-    pub fn normal(mut self, delivery_bound: Millis, lapse: bool) -> World {
+    /// Returns the world without details that can't affect later steps, so that equivalent worlds count
+    /// as one state. These are the exact age of times older than any bound, versions that are no longer
+    /// current, calls whose order is closed, and the state of dead instances.
+    ///
+    /// If `drops_lapsed` is set, the pool that a replaced holder still has in memory is removed too, once its
+    /// lease has lapsed and cannot be renewed: such a holder gives no more orders, and its writes fail.
+    pub fn normalized(mut self, delivery_bound: Millis, drops_lapsed: bool) -> World {
         let current = self.pool.1;
         let oldest = self.now - delivery_bound;
         let stored = self.pool.0.clone();
@@ -265,7 +271,7 @@
                 continue;
             }
             let replaced = |held: &Held| held.row.term < stored.term;
-            let lapsed = lapse
+            let lapsed = drops_lapsed
                 && instance.renewals == 0
                 && !instance.own.may_order(self.now, &lease_options());
             if lapsed && instance.held.as_ref().is_some_and(replaced) {
@@ -303,8 +309,8 @@
         self
     }
 
-    /// The senders whose process has ended.
-    pub fn gone(&self) -> BTreeSet<InstanceName> {
+    /// Returns the instances whose process has terminated.
+    pub fn dead_instances(&self) -> BTreeSet<InstanceName> {
         let dead = (0..self.instances.len()).filter(|index| !self.instances[*index].alive);
         dead.map(instance_name).collect()
     }
