--- a/crates/anvilhook-core/benches/decisions.rs
+++ b/crates/anvilhook-core/benches/decisions.rs
@@ -127,7 +127,7 @@
             })
             .collect();
         let mut planner = RolePlanner::new(PlanOptions::new(policy.clone()));
-        // Records all twelve mixes before the measurement, so that the planner knows each of them.
+        // The planner observes every mix that it distinguishes before the measurement begins.
         for step in 0..240 {
             let reading = f64::from(step % 12) * engines as f64;
             let patient =
--- a/crates/anvilhook-core/tests/budgets.rs
+++ b/crates/anvilhook-core/tests/budgets.rs
@@ -1,4 +1,4 @@
-//! The retry budget, outlier ejection and account limits.
+//! Tests the retry budget, outlier ejection and account limits.
 
 use anvilhook_core::ejections::{Ejection, EjectionOptions};
 use anvilhook_core::limits::{
@@ -21,9 +21,9 @@
 
 #[test]
 fn verify_retries_stay_a_share_of_successes() {
-    // Symptom: attempts multiply while an upstream fails.
-    // Sequence: 1,000 successes, then 1,000 failures that all ask for a retry.
-    // Cause: retries that are bounded for one request only, and not for the instance.
+    // Guards against attempts that multiply while an upstream fails. 1,000 successes are followed by
+    // 1,000 failures that all request a retry. A bound per request would not limit the retries of the
+    // instance.
     let budget = RetryBudget::new(&RetryBudgetOptions { share: 0.1, max_saved: 20 });
 
     (0..1_000).for_each(|_| budget.record_success());
@@ -35,7 +35,7 @@
 #[test]
 fn verify_ejection_and_slow_return() {
     let ejection = Ejection::new(&EjectionOptions::default());
-    // Each step: the time, whether the attempt failed, the share just after it.
+    // Each step: the time, whether the attempt failed, and the share right after the attempt.
     let steps = [
         (0, true, 1.0),
         (1, false, 1.0),
@@ -45,7 +45,7 @@
         (2_003, false, 0.0),
         (2_004, false, 0.1),
         (7_004, false, 0.55),
-        // A single failure while it returns ejects it again, for twice as long.
+        // A single failure while the share grows again ejects the upstream for twice as long.
         (7_005, true, 0.0),
         (11_004, false, 0.0),
         (11_005, false, 0.1),
@@ -64,30 +64,30 @@
 }
 
 #[test]
-fn verify_limiter_holds_rate_and_open_requests() {
+fn verify_limiter_enforces_rate_and_open_requests() {
     let options = LimitOptions { burst: Millis(1_000), ..Default::default() };
     let limiter = AccountLimiter::new(&account(90, 27), 9, &options);
 
-    // Ten requests a second are this instance's share, and a burst of one second.
+    // This instance's share is ten requests per second, with a burst of one second.
     let admitted = |now: u64| limiter.try_admit(Millis(now)).map(|()| limiter.release()).is_ok();
     let burst = (0..100).filter(|_| admitted(5_000)).count();
     let next_second = (0..1_000).filter(|ms| admitted(5_001 + ms)).count();
-    let held = (0..10).filter(|_| limiter.try_admit(Millis(60_000)).is_ok()).count();
+    let open = (0..10).filter(|_| limiter.try_admit(Millis(60_000)).is_ok()).count();
 
-    assert_eq!((burst, next_second, held), (10, 10, 3));
+    assert_eq!((burst, next_second, open), (10, 10, 3));
 }
 
 #[test]
 fn verify_shares_follow_demand_and_never_exceed_the_limit_for_long() {
-    // Symptom: an account runs above its limit although each instance keeps its share.
-    // Sequence: demand moves from instance 0 to instance 1 while digests are late or lost.
-    // Cause: one instance grows before the other has shrunk, or one side hears nothing any more.
+    // Guards against an account that exceeds its limit although each instance observes its share. Demand
+    // moves from instance 0 to instance 1 while digests are late or lost. The sum exceeds the limit if one
+    // share grows before the other has shrunk, or if one side receives no digests any more.
     let options = LimitOptions::default();
     let step = Millis(500);
     for (lost_to, moves_at) in [(None, 20_000), (Some(0), 20_000), (Some(1), 20_000)] {
-        let mut keepers: Vec<_> =
+        let mut allocators: Vec<_> =
             (0..3).map(|_| ShareAllocator::new(account(300, 30), &options)).collect();
-        let mut heard = vec![vec![(0.0, None, true); 3]; 3];
+        let mut received = vec![vec![(0.0, None, true); 3]; 3];
         let mut over_since = None;
         let mut last = vec![AccountShare::default(); 3];
 
@@ -97,25 +97,25 @@
                 if at >= moves_at { [5.0, 290.0, 5.0] } else { [290.0, 5.0, 5.0] }
             };
             let demands = demands_at(now.0);
-            let cut = |to: usize| lost_to == Some(to) && now.0 >= moves_at - 1_000;
+            let is_partitioned = |to: usize| lost_to == Some(to) && now.0 >= moves_at - 1_000;
             let mut hears_all = [true; 3];
             for to in 0..3 {
                 let peers: Vec<_> = (0..3).filter(|from| *from != to).collect();
                 let demand = |from: &usize| {
-                    let (rate, at, hears_all) = heard[to][*from];
+                    let (rate, at, hears_all) = received[to][*from];
                     PeerDemand { hears_all, ..peer(*from, rate, at) }
                 };
                 let peers: Vec<_> = peers.iter().map(demand).collect();
                 let own = peer(to, demands[to], None).demand;
-                hears_all[to] = keepers[to].hears_all(&peers, now);
-                last[to] = keepers[to].update(&own, &peers, now);
+                hears_all[to] = allocators[to].hears_all(&peers, now);
+                last[to] = allocators[to].update(&own, &peers, now);
             }
-            for to in (0..3).filter(|to| !cut(*to)) {
+            for to in (0..3).filter(|to| !is_partitioned(*to)) {
                 for from in 0..3 {
-                    // What grows is heard last by the one that has to give way.
+                    // Instance 0, whose share has to shrink, receives the growing demand of instance 1 last.
                     let late = if (from, to) == (1, 0) { 1_500 } else { 0 };
                     let demand = demands_at(now.0.saturating_sub(late))[from];
-                    heard[to][from] = (demand, Some(now), hears_all[from]);
+                    received[to][from] = (demand, Some(now), hears_all[from]);
                 }
             }
 
@@ -124,8 +124,8 @@
             if sum <= 300.0 + 1e-6 {
                 over_since = None;
             } else {
-                assert!(now - *since <= options.max_overshoot(), "{sum} for long at {now}");
-                // While nothing is lost, a share only grows when the others have shrunk.
+                assert!(now - *since <= options.max_overshoot(), "{sum} for too long at {now}");
+                // If no digest is lost, a share grows only after the others have shrunk.
                 assert!(lost_to.is_some(), "{sum} at {now} although all digests arrive");
             }
         }
@@ -135,9 +135,9 @@
     }
 }
 
-/// Symptom: an account gets its whole limit from each of several instances.
-/// Sequence: an instance starts alone, and others join it; later they leave.
-/// Cause: the share worked out once, for the number of instances at that time.
+/// Guards against an account that gets its whole limit at each of several instances. An instance starts
+/// alone, others join, and later they leave. The fault comes about if the share is calculated only once,
+/// for the number of instances at that time.
 #[test]
 fn verify_an_equal_share_follows_the_number_of_instances() {
     let spec = AccountSpec { token_sha256: vec![], requests_per_s: 90, open_requests: 9 };
--- a/crates/anvilhook-core/tests/drains.rs
+++ b/crates/anvilhook-core/tests/drains.rs
@@ -1,4 +1,4 @@
-//! Drains: what an acknowledgement says, and which engine a plan takes next.
+//! Tests drains: which mark an acknowledgement clears, and which engine a plan drains next.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,11 +22,11 @@
     InstanceName::try_new("entry-1").unwrap()
 }
 
-/// Symptom: a change cuts requests although all have acknowledged.
-/// Sequence: an engine drains, serves again and drains anew.
-/// Cause: an acknowledgement that is taken for one of another drain, engine or pool.
+/// Guards against a change that interrupts requests although all instances have acknowledged. An engine
+/// drains, serves again and drains again. The fault comes about if an acknowledgement is applied to another
+/// drain, engine or pool.
 #[test]
-fn verify_an_acknowledgement_says_one_thing_only() {
+fn verify_an_acknowledgement_clears_only_its_own_mark() {
     let mut marks = DrainMarks::default();
     marks.mark(&engine(1), DrainCause::Change);
     let earlier = marks.engines[&engine(1)].since;
@@ -56,11 +56,10 @@
     }
 }
 
-/// Symptom: an instance routes to an engine whose drain it has acknowledged.
-/// Sequence: an older reading of the marks arrives after a newer one.
-/// Cause: marks adopted that go back.
+/// Guards against an instance that routes to an engine whose drain it has acknowledged. This happens if
+/// older marks, which were read before newer ones but arrive after them, are adopted.
 #[test]
-fn verify_a_follower_never_goes_back() {
+fn verify_a_follower_ignores_older_marks() {
     let mut older = DrainMarks::default();
     older.mark(&engine(1), DrainCause::Change);
     older.unmark(&engine(1), &DrainCause::Change);
@@ -78,7 +77,7 @@
     assert!(!follower.ack(&me(), |_| 1).clears(&pool("verdicts"), &engine(1), mark));
 }
 
-/// An engine that drains for two causes serves again when both are gone, and not before.
+/// An engine that drains for two causes serves again only after both causes have ended.
 #[test]
 fn verify_each_cause_keeps_an_engine_draining() {
     let plan = DrainCause::Plan("move".parse().unwrap());
@@ -87,15 +86,15 @@
     let generation = marks.generation;
     marks.mark(&engine(1), plan.clone());
 
-    assert_eq!(marks.generation, generation, "what was acknowledged still holds");
+    assert_eq!(marks.generation, generation, "acknowledgements of the first cause remain valid");
     marks.unmark(&engine(1), &DrainCause::Change);
     assert!(marks.is_marked(&engine(1)));
     marks.unmark(&engine(1), &plan);
     assert!(!marks.is_marked(&engine(1)));
 }
 
-/// Six engines, two in each of three zones: `.` serves, `p` is marked by the plan, `d` is drained
-/// by it, `m` is marked for something else.
+/// Returns six engines, two in each of three zones. `.` is serving, `p` is marked by the plan, `d` is
+/// drained by the plan, and `m` is marked for another cause.
 fn views(states: &str) -> Vec<EngineView> {
     let view = |(index, state): (usize, char)| EngineView {
         name: engine(index),
@@ -108,7 +107,7 @@
 }
 
 #[test]
-fn verify_which_engine_a_plan_takes_next() {
+fn verify_which_engine_a_plan_drains_next() {
     let zone = |name: &str| ZoneName::try_new(name).unwrap();
     let zones = || DrainTarget::Zones(vec![zone("marousi"), zone("piraeus")]);
     let engines = || DrainTarget::Engines(vec![engine(0), engine(2), engine(3)]);
--- a/crates/anvilhook-core/tests/fleet_sizes.rs
+++ b/crates/anvilhook-core/tests/fleet_sizes.rs
@@ -1,4 +1,4 @@
-//! The number of engines, on loads replayed against a fleet that starts, leaves and is reclaimed.
+//! Tests the planned number of engines on a simulated fleet whose engines start, stop and are reclaimed.
 
 use std::sync::Arc;
 
@@ -15,12 +15,12 @@
     ScalingSpec { min: 1, max: 38, boot: BOOT, reclaimable_price: Some(RECLAIMABLE_PRICE) }
 }
 
-/// Returns options by which there are as many engines as at first.
+/// Returns options that keep the number of engines at its initial value.
 fn options() -> SizeOptions {
     SizeOptions { max_factor: 1.0, max_cost: 1.0, regular: 0.0 }
 }
 
-/// `Starting` is engines that were ordered and don't serve yet.
+/// `Starting` is a group of engines that were ordered and are not serving yet.
 struct Starting {
     zone: usize,
     kind: EngineKind,
@@ -28,19 +28,19 @@
     at: Millis,
 }
 
-/// `Fleet` is a platform's engines in three availability zones, on a virtual clock.
+/// `Fleet` simulates a platform's engines in three availability zones on a virtual clock.
 struct Fleet {
     planner: FleetPlanner,
     zones: Vec<ZoneEngines>,
     starting: Vec<Starting>,
-    /// Until when no reclaimable engines are to be had, by zone.
-    none_until: [Millis; 3],
+    /// The time until which no reclaimable engines are available, by zone.
+    exhausted_until: [Millis; 3],
     now: Millis,
     orders: usize,
-    /// What the engines have cost, in seconds of a regular one.
+    /// The cost of the engines so far, in seconds of a regular engine.
     cost: f64,
-    /// The least engines that served at any moment.
-    least: u32,
+    /// The minimum number of engines that were serving at any time.
+    min_serving: u32,
 }
 
 impl Fleet {
@@ -54,11 +54,11 @@
             planner: FleetPlanner::new(options),
             zones: zones.into(),
             starting: Vec::new(),
-            none_until: [Millis::ZERO; 3],
+            exhausted_until: [Millis::ZERO; 3],
             now: Millis::ZERO,
             orders: 0,
             cost: 0.0,
-            least: each * 3,
+            min_serving: each * 3,
         }
     }
 
@@ -73,13 +73,13 @@
         self.zones.iter().map(|zone| zone.regular + zone.reclaimable).sum()
     }
 
-    /// Takes all reclaimable engines of a zone away, and gives none for a while.
-    fn reclaim(&mut self, zone: usize, none_for: Millis) {
+    /// Reclaims all reclaimable engines of a zone. The zone has none available for the given time.
+    fn reclaim(&mut self, zone: usize, exhausted_for: Millis) {
         self.zones[zone].reclaimable = 0;
-        self.none_until[zone] = self.now + none_for;
+        self.exhausted_until[zone] = self.now + exhausted_for;
     }
 
-    /// Goes on for a time.
+    /// Runs the simulation for the given time.
     fn run(&mut self, time: Millis) {
         let end = self.now + time;
         while self.now < end {
@@ -94,7 +94,7 @@
                 f64::from(zone.regular) + f64::from(zone.reclaimable) * RECLAIMABLE_PRICE
             };
             self.cost += self.zones.iter().map(prices).sum::<f64>() * STEP.as_secs_f64();
-            self.least = self.least.min(self.total());
+            self.min_serving = self.min_serving.min(self.total());
             self.order();
         }
     }
@@ -106,7 +106,7 @@
             let zone = zones.iter().position(|zone| zone.zone == order.zone).expect("a zone");
             let has = *self.count(zone, order.kind);
             let is_exhausted =
-                order.kind == EngineKind::Reclaimable && self.now < self.none_until[zone];
+                order.kind == EngineKind::Reclaimable && self.now < self.exhausted_until[zone];
             let answer = if is_exhausted { SizeAnswer::Unavailable } else { SizeAnswer::Taken };
             self.planner.record_answer(&spec, &order, has, answer, self.now);
             if is_exhausted {
@@ -123,21 +123,21 @@
     }
 }
 
-/// A fleet of regular engines is paid for all day where reclaimable ones cost a fifth.
+/// Guards against a fleet that keeps regular engines although reclaimable ones cost a fifth.
 #[test]
-fn verify_reclaimable_engines_take_the_place_of_regular_ones() {
+fn verify_reclaimable_engines_replace_regular_ones() {
     let mut fleet = Fleet::of_regular(19, options());
     fleet.run(Millis(60_000));
 
     let kinds: Vec<_> = fleet.zones.iter().map(|zone| (zone.regular, zone.reclaimable)).collect();
     assert_eq!(kinds, [(0, 19); 3]);
-    assert_eq!(fleet.least, 57, "none is given up before its replacement serves");
+    assert_eq!(fleet.min_serving, 57, "no engine is stopped before its replacement serves");
     assert_eq!(fleet.orders, 6);
     assert!(fleet.cost < 57.0 * 60.0 * 0.4, "{}", fleet.cost);
 }
 
-/// A zone that loses its reclaimable engines leaves the others with its load for as long as it has none, or
-/// is left without when it gives some again.
+/// Guards against two faults after a zone loses its reclaimable engines: the other zones carry its load with
+/// no more engines than before, or the zone gets none again once they are available.
 #[test]
 fn verify_other_zones_take_over_from_one_that_loses_its_engines() {
     let mut fleet = Fleet::of_regular(19, options());
@@ -151,16 +151,17 @@
 
     let kinds: Vec<_> = fleet.zones.iter().map(|zone| (zone.regular, zone.reclaimable)).collect();
     assert_eq!(kinds, [(0, 19); 3]);
-    assert_eq!(fleet.least, 38);
+    assert_eq!(fleet.min_serving, 38);
 }
 
-/// Two zones lose their engines within seconds, nowhere are others to be had, and a third of the fleet is left.
+/// Guards against a fleet that stays at a third of its size. Two zones lose their engines within seconds, and
+/// no zone has reclaimable engines available.
 #[test]
 fn verify_regular_engines_are_ordered_where_reclaimable_ones_run_out() {
     let mut fleet = Fleet::of_regular(19, options());
     fleet.run(Millis(30_000));
     let before = fleet.cost;
-    fleet.none_until = [fleet.now + Millis(20_000); 3];
+    fleet.exhausted_until = [fleet.now + Millis(20_000); 3];
     fleet.reclaim(0, Millis(20_000));
     fleet.run(Millis(5_000));
     fleet.reclaim(1, Millis(20_000));
@@ -174,7 +175,7 @@
     assert!(fleet.cost - before < 57.0 * 41.0 * 0.5, "{}", fleet.cost - before);
 }
 
-/// Those that start one after the other are taken for a fleet of the first few.
+/// Guards against taking the first listed engines for the whole fleet while the others are still being listed.
 #[test]
 fn verify_nothing_is_ordered_while_engines_are_still_being_listed() {
     let mut fleet = Fleet::of_regular(1, options());
@@ -189,26 +190,26 @@
     assert_eq!(fleet.total(), 57);
 }
 
-/// A burst comes on as two zones lose their engines one after the other, and too few are left until others
-/// have started.
+/// Guards against too few engines during a burst. Two zones lose their engines one after the other, and the
+/// rest must carry the load until replacements have started.
 #[test]
 fn verify_spare_engines_carry_the_load_while_two_zones_lose_theirs() {
     let spare = SizeOptions { max_factor: 2.0, max_cost: 0.5, ..options() };
     let mut fleet = Fleet::of_regular(19, spare);
     fleet.run(Millis(40_000));
-    assert_eq!((fleet.total(), fleet.least), (114, 57));
+    assert_eq!((fleet.total(), fleet.min_serving), (114, 57));
 
-    fleet.least = 114;
+    fleet.min_serving = 114;
     fleet.reclaim(0, Millis(12_000));
     fleet.run(Millis(6_000));
-    assert_eq!(fleet.least, 76, "one loss leaves more than there were at first");
+    assert_eq!(fleet.min_serving, 76, "after one loss more engines are left than at the start");
     fleet.reclaim(1, Millis(12_000));
     fleet.run(Millis(30_000));
 
-    assert_eq!((fleet.total(), fleet.least), (114, 38));
+    assert_eq!((fleet.total(), fleet.min_serving), (114, 38));
 }
 
-/// Engines that nobody can reclaim are given up, or ones that have gone are not replaced.
+/// Guards against regular engines that are stopped without need, or not replaced after they have terminated.
 #[test]
 fn verify_a_fleet_without_reclaimable_engines_stays_as_it_is() {
     let spec = ScalingSpec { reclaimable_price: None, ..spec() };
--- a/crates/anvilhook-core/tests/leases.rs
+++ b/crates/anvilhook-core/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases: no two instances trust the same one, whatever their clocks and lost answers.
+//! Tests that no two instances rely on the same lease at a time, even if clocks differ and answers are lost.
 
 use anvilhook_core::leases::{LeaseOptions, OwnSession, SessionRow, SessionStatus, Watch};
 use anvilhook_core::membership::{CandidateOptions, rank, watch_interval};
@@ -16,29 +16,32 @@
     (own, row)
 }
 
-/// Returns the first moment in real time at which a challenger may end the session that was
-/// renewed and first seen at zero, and the last one at which its holder still gives orders.
-fn take_over_and_trust(options: &LeaseOptions, holder_ppm: i64, watcher_ppm: i64) -> (u64, u64) {
-    let reading = |real: u64, ppm: i64| {
+/// Returns two times on an exact clock: the first at which a challenger may end the session that was
+/// renewed and first seen at zero, and the last at which the session's holder still gives orders.
+fn first_take_over_and_last_order(
+    options: &LeaseOptions,
+    holder_ppm: i64,
+    watcher_ppm: i64,
+) -> (u64, u64) {
+    let clock = |real: u64, ppm: i64| {
         Millis((real as i128 * (1_000_000 + i128::from(ppm)) / 1_000_000) as u64)
     };
     let (own, row) = opened(options, Millis::ZERO);
     let mut watch = Watch::default();
     watch.observe(&row, 1, Millis::ZERO, options);
     let limit = 3 * options.length_ms.0;
-    let taken = (0..limit)
-        .find(|real| watch.observe(&row, 1, reading(*real, watcher_ppm), options))
-        .unwrap();
-    let trusted =
-        (0..limit).rev().find(|real| own.may_order(reading(*real, holder_ppm), options)).unwrap();
-    (taken, trusted)
+    let taken =
+        (0..limit).find(|real| watch.observe(&row, 1, clock(*real, watcher_ppm), options)).unwrap();
+    let last_order =
+        (0..limit).rev().find(|real| own.may_order(clock(*real, holder_ppm), options)).unwrap();
+    (taken, last_order)
 }
 
-/// Symptom: two instances trust their leases at the same time.
-/// Sequence: the holder's clock is slow, the challenger's is fast.
-/// Cause: a wait of the lease's length on a clock that runs faster than the holder's.
+/// Guards against two instances that rely on their leases at the same time. The holder's clock is slow and
+/// the challenger's is fast, so a challenger that waits only for the lease's length on its own clock takes
+/// over too early.
 #[test]
-fn verify_no_clocks_within_the_bound_overlap() {
+fn verify_leases_do_not_overlap_within_the_clock_bound() {
     for (bound, holder_ppm, watcher_ppm, safe) in [
         (1_000, 0, 0, true),
         (1_000, -500, 500, true),
@@ -46,7 +49,7 @@
         (1_000, -1_000, 0, true),
         (1_000, 0, 1_000, true),
         (200_000, -90_000, 90_000, true),
-        // Beyond the bound there is no promise, and this test sees it broken.
+        // Beyond the bound the leases may overlap. These cases show that the test detects it.
         (0, -90_000, 90_000, false),
         (1_000, -200_000, 200_000, false),
     ] {
@@ -59,15 +62,19 @@
             ..LeaseOptions::default()
         };
 
-        let (taken, trusted) = take_over_and_trust(&options, holder_ppm, watcher_ppm);
+        let (taken, last_order) = first_take_over_and_last_order(&options, holder_ppm, watcher_ppm);
 
-        assert_eq!(trusted < taken, safe, "{case}: taken at {taken}, trusted until {trusted}");
+        assert_eq!(
+            last_order < taken,
+            safe,
+            "{case}: taken at {taken}, last order at {last_order}"
+        );
     }
 }
 
-/// Symptom: an engine carries out an order of a holder whose successor gives orders already.
-/// Sequence: an order is given just before the guard interval, and the engine answers slowly.
-/// Cause: a call that may take longer than the guard interval.
+/// Guards against an engine that executes an order of a holder whose successor already gives orders. An
+/// order is given just before the guard interval, the engine responds slowly, and the call may take longer
+/// than the guard interval.
 #[test]
 fn verify_a_call_ends_within_any_accepted_guard() {
     for (guard_ms, accepted) in [
@@ -88,11 +95,10 @@
     }
 }
 
-/// Symptom: a holder trusts a renewal that never took effect, or drops a session that goes on.
-/// Sequence: the answer to a renewal is lost, and the row is read back.
-/// Cause: a renewal judged by anything but the row.
+/// Guards against a holder that relies on a renewal that never took effect, or drops a session that is still
+/// active. The answer to a renewal is lost and the row is read back. Only the row shows the outcome.
 #[test]
-fn verify_a_lost_renewal_is_judged_by_the_row() {
+fn verify_a_lost_renewal_is_resolved_from_the_row() {
     let options = LeaseOptions::default();
     let (_, first) = opened(&options, Millis::ZERO);
     let renewed = SessionRow { renewal: 2, ..first.clone() };
@@ -102,7 +108,7 @@
         session: anvilhook_core::leases::SessionRef { epoch: later, ..first.session.clone() },
         ..first.clone()
     };
-    // The row read back with its version, what is learnt, and until when the lease then holds.
+    // The row read back with its version, the session's status, and until when the lease is then valid.
     let cases = [
         (Some((&renewed, 2)), SessionStatus::Active, 3_000 + 9_000),
         (Some((&first, 1)), SessionStatus::Active, 9_000),
@@ -110,24 +116,24 @@
         (Some((&other, 2)), SessionStatus::Ended, 9_000),
         (None, SessionStatus::Ended, 9_000),
     ];
-    for (standing, fate, valid_until) in cases {
+    for (stored, expected, valid_until) in cases {
         let (mut own, _) = opened(&options, Millis::ZERO);
         assert!(own.is_due(Millis(3_000), &options));
         own.begin(Millis(3_000));
-        // Sent again: the time of the first sending counts.
+        // The renewal is resent. The time at which it was first sent counts.
         own.begin(Millis(5_000));
 
-        let learnt = own.read_back(standing);
+        let status = own.read_back(stored);
 
-        assert_eq!(learnt, fate, "{standing:?}");
-        assert_eq!(own.valid_until(), Some(Millis(valid_until)), "{standing:?}");
+        assert_eq!(status, expected, "{stored:?}");
+        assert_eq!(own.valid_until(), Some(Millis(valid_until)), "{stored:?}");
         assert!(!own.may_order(Millis(valid_until - options.guard_ms.0), &options));
         assert!(own.may_order(Millis(valid_until - options.guard_ms.0 - 1), &options));
     }
 }
 
 #[test]
-fn verify_options_that_do_not_fit_are_named() {
+fn verify_errors_name_the_invalid_option() {
     let good = LeaseOptions::default();
     for (options, field) in [
         (LeaseOptions { length_ms: Millis::ZERO, ..good }, "lease.length_ms"),
@@ -141,7 +147,7 @@
     }
 }
 
-/// The reads of those who hold nothing must not grow with the fleet.
+/// Guards against reads by instances without a pool that grow with the size of the fleet.
 #[test]
 fn verify_the_reads_of_candidates_are_bounded() {
     let options = CandidateOptions::default();
--- a/crates/anvilhook-core/tests/names.rs
+++ b/crates/anvilhook-core/tests/names.rs
@@ -1,4 +1,4 @@
-//! Names and identifiers accept what their rule says and nothing else.
+//! Tests that names and identifiers accept exactly the texts that their rules allow.
 
 use anvilhook_core::attempts::AttemptId;
 use anvilhook_core::names::ServiceName;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn verify_bad_names_say_what_was_expected() {
+fn verify_name_errors_state_the_expected_form() {
     let err = ServiceName::try_new("A b").expect_err("a bad name");
 
     let message = err.to_string();
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn verify_attempt_ids_survive_their_text_form() {
+fn verify_attempt_ids_round_trip_as_text() {
     let cases = [
         ("000102030405060708090a0b0c0d0e0f", true),
         ("0001", false),
