--- a/crates/anvilhook-core/tests/pacing.rs
+++ b/crates/anvilhook-core/tests/pacing.rs
@@ -1,4 +1,4 @@
-//! Loads at their worst, replayed against the decisions on when work is sent, in virtual time.
+//! Simulates worst-case loads in virtual time to test when waiting work is sent to engines.
 
 use std::collections::BinaryHeap;
 
@@ -7,17 +7,17 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// The objective and the caller's patience of a kind of request, in milliseconds.
+/// `Kind` holds the objective and the caller's wait limit of a kind of request, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 struct Kind {
     objective: u64,
-    patience: u64,
+    wait_limit: u64,
 }
 
-const QUESTION: Kind = Kind { objective: 250, patience: 2_000 };
-const DESCRIPTION: Kind = Kind { objective: 600, patience: 2_400 };
+const QUESTION: Kind = Kind { objective: 250, wait_limit: 2_000 };
+const DESCRIPTION: Kind = Kind { objective: 600, wait_limit: 2_400 };
 
-/// `Piece` is a prompt, or a prompt's output, with the time that an engine works on it.
+/// `Piece` is a prompt, or the output for a prompt, with the time that an engine needs for it in `work`.
 #[derive(Clone, Copy, Debug)]
 struct Piece {
     kind: Kind,
@@ -30,15 +30,15 @@
         Waiting {
             age: Millis(now - self.arrived),
             objective: Millis(self.kind.objective),
-            wait_limit: Millis(self.kind.patience),
+            wait_limit: Millis(self.kind.wait_limit),
         }
     }
 }
 
-/// What became of a load: for each kind by its objective, how many were on time, and the longest
-/// wait before the sending.
+/// `Outcome` counts, for each kind, the pieces and those that met their objective. It also records the
+/// longest time that a piece waited before it was sent.
 #[derive(Debug, Default)]
-struct Tally {
+struct Outcome {
     questions: usize,
     questions_on_time: usize,
     descriptions: usize,
@@ -46,9 +46,9 @@
     longest_wait: u64,
 }
 
-impl Tally {
-    fn note(&mut self, piece: &Piece, sent: u64, begun: u64) {
-        let is_on_time = usize::from(begun - piece.arrived <= piece.kind.objective);
+impl Outcome {
+    fn record(&mut self, piece: &Piece, sent: u64, output_begun: u64) {
+        let is_on_time = usize::from(output_begun - piece.arrived <= piece.kind.objective);
         if piece.kind.objective == QUESTION.objective {
             self.questions += 1;
             self.questions_on_time += is_on_time;
@@ -60,32 +60,32 @@
     }
 }
 
-/// Returns clumps of prompts: every 400 ms come twelve questions of 12 ms and five descriptions with
-/// a heavy tail, one in ten of them eight times as long as the rest.
-fn clumps_of_prompts(seed: u64) -> Vec<Piece> {
+/// Returns bursts of prompts. Every 400 ms, twelve questions of 12 ms and five descriptions arrive. The
+/// descriptions have a heavy tail: one in ten is eight times as long as the others.
+fn bursts_of_prompts(seed: u64) -> Vec<Piece> {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut pieces = Vec::new();
-    for clump in 0..60u64 {
+    for burst in 0..60u64 {
         let mut add = |kind, work| {
-            pieces.push(Piece { kind, arrived: clump * 400 + rng.random_range(0..60), work });
+            pieces.push(Piece { kind, arrived: burst * 400 + rng.random_range(0..60), work });
         };
         (0..12).for_each(|_| add(QUESTION, 12));
-        (0..5).for_each(|at| add(DESCRIPTION, if (clump + at) % 10 == 0 { 800 } else { 100 }));
+        (0..5).for_each(|at| add(DESCRIPTION, if (burst + at) % 10 == 0 { 800 } else { 100 }));
     }
     pieces.sort_by_key(|piece| piece.arrived);
     pieces
 }
 
-/// Plays prompts at readers that read in the order of arrival. What waits is looked at every 2 ms,
-/// and goes to the reader with the least backlog.
-fn read(pieces: &[Piece], readers: usize, is_paced: bool) -> Tally {
+/// Simulates engines that prefill prompts in the order of arrival. Waiting prompts are checked every 2 ms,
+/// and each that is sent goes to the engine with the smallest backlog.
+fn simulate_readers(pieces: &[Piece], readers: usize, is_paced: bool) -> Outcome {
     let mut free_at = vec![0u64; readers];
-    let mut tally = Tally::default();
+    let mut outcome = Outcome::default();
     let mut held: Vec<Piece> = Vec::new();
-    let mut coming = pieces.iter().copied().peekable();
+    let mut arrivals = pieces.iter().copied().peekable();
     let mut now = 0;
-    while !held.is_empty() || coming.peek().is_some() {
-        while let Some(piece) = coming.next_if(|piece| piece.arrived <= now) {
+    while !held.is_empty() || arrivals.peek().is_some() {
+        while let Some(piece) = arrivals.next_if(|piece| piece.arrived <= now) {
             held.push(piece);
         }
         held.retain(|piece| {
@@ -97,92 +97,91 @@
                 return true;
             }
             free_at[reader] = now.max(free_at[reader]) + piece.work;
-            tally.note(piece, now, free_at[reader]);
+            outcome.record(piece, now, free_at[reader]);
             false
         });
         now += 2;
     }
-    tally
+    outcome
 }
 
-/// Symptom: short questions are late though the readers are busy for little more than half of the
-/// time.
-/// Sequence: prompts come in clumps, and each is sent at once; some take eight times as long as
-/// others.
-/// Cause: an engine reads in the order of arrival, so what was sent can't be passed any more.
+/// Guards against short questions that are late although the readers are busy for little more than half of
+/// the time. Prompts arrive in bursts, and some take eight times as long as others. If each is sent at once,
+/// short prompts can't overtake long ones any more, since an engine prefills in the order of arrival.
 #[test]
-fn verify_short_prompts_pass_long_ones_that_come_in_a_clump() {
+fn verify_short_prompts_overtake_long_ones_in_a_burst() {
     for seed in 1..=5 {
-        let pieces = clumps_of_prompts(seed);
+        let pieces = bursts_of_prompts(seed);
 
-        let (paced, at_once) = (read(&pieces, 3, true), read(&pieces, 3, false));
+        let (paced, at_once) =
+            (simulate_readers(&pieces, 3, true), simulate_readers(&pieces, 3, false));
 
-        let share = |tally: &Tally| tally.questions_on_time as f64 / tally.questions as f64;
+        let share = |outcome: &Outcome| outcome.questions_on_time as f64 / outcome.questions as f64;
         assert!(share(&paced) > 0.93, "{paced:?}");
         assert!(share(&at_once) < 0.85, "{at_once:?}");
         assert!(paced.descriptions_on_time + 12 > at_once.descriptions_on_time, "{paced:?}");
-        assert!(paced.longest_wait < DESCRIPTION.patience, "{paced:?}");
+        assert!(paced.longest_wait < DESCRIPTION.wait_limit, "{paced:?}");
     }
 }
 
-/// Symptom: the longest prompts are given up by their callers unserved.
-/// Sequence: for seconds more short prompts come than the readers can take.
-/// Cause: what is always passed must be sent before its caller leaves.
+/// Guards against long prompts whose callers leave before they are served. For seconds, more short prompts
+/// arrive than the readers can process, and all of them overtake the long prompt. It must still be sent
+/// before its caller leaves.
 #[test]
-fn verify_no_prompt_is_passed_for_ever() {
+fn verify_no_prompt_is_overtaken_forever() {
     let mut pieces: Vec<Piece> =
         (0..3_000).map(|at| Piece { kind: QUESTION, arrived: at * 4, work: 14 }).collect();
     pieces.push(Piece { kind: DESCRIPTION, arrived: 1_000, work: 900 });
     pieces.sort_by_key(|piece| piece.arrived);
 
-    let tally = read(&pieces, 3, true);
+    let outcome = simulate_readers(&pieces, 3, true);
 
-    assert_eq!(tally.descriptions, 1);
-    assert!(tally.longest_wait > 1_000, "{tally:?}");
-    assert!(tally.longest_wait < DESCRIPTION.patience, "{tally:?}");
+    assert_eq!(outcome.descriptions, 1);
+    assert!(outcome.longest_wait > 1_000, "{outcome:?}");
+    assert!(outcome.longest_wait < DESCRIPTION.wait_limit, "{outcome:?}");
 }
 
-/// Plays outputs at one generator with `slots` places. Without pacing they wait at the engine in
-/// the order of arrival.
-fn generate(pieces: &[Piece], slots: usize, is_paced: bool) -> Tally {
-    let mut tally = Tally::default();
-    let mut ends: BinaryHeap<std::cmp::Reverse<u64>> = BinaryHeap::new();
+/// Simulates outputs at one generator with `slots` slots. Without pacing they wait at the engine in the order
+/// of arrival.
+fn simulate_generator(pieces: &[Piece], slots: usize, is_paced: bool) -> Outcome {
+    let mut outcome = Outcome::default();
+    let mut slots_free_at: BinaryHeap<std::cmp::Reverse<u64>> = BinaryHeap::new();
     let mut held: Vec<Piece> = Vec::new();
     let mut queue = std::collections::VecDeque::new();
-    let mut coming = pieces.iter().copied().peekable();
+    let mut arrivals = pieces.iter().copied().peekable();
     let mut now = 0;
-    while !held.is_empty() || !queue.is_empty() || coming.peek().is_some() {
-        while ends.peek().is_some_and(|end| end.0 <= now) {
-            ends.pop();
+    while !held.is_empty() || !queue.is_empty() || arrivals.peek().is_some() {
+        while slots_free_at.peek().is_some_and(|free_at| free_at.0 <= now) {
+            slots_free_at.pop();
         }
-        while let Some(piece) = coming.next_if(|piece| piece.arrived <= now) {
+        while let Some(piece) = arrivals.next_if(|piece| piece.arrived <= now) {
             held.push(piece);
         }
         held.retain(|piece| {
-            let in_flight = (ends.len() + queue.len()) as u32;
-            let places = Slots { slots: slots as u32, in_flight };
+            let in_flight = (slots_free_at.len() + queue.len()) as u32;
+            let engine_slots = Slots { slots: slots as u32, in_flight };
             let (work, waiting) = (piece.work as f64, piece.waiting(now));
-            if is_paced && pace_generating(&waiting, 20.0, work, places) == Pace::Hold {
+            if is_paced && pace_generating(&waiting, 20.0, work, engine_slots) == Pace::Hold {
                 return true;
             }
             queue.push_back((*piece, now));
             false
         });
-        while ends.len() < slots
+        while slots_free_at.len() < slots
             && let Some((piece, sent)) = queue.pop_front()
         {
-            ends.push(std::cmp::Reverse(now + piece.work));
-            tally.note(&piece, sent, now);
+            slots_free_at.push(std::cmp::Reverse(now + piece.work));
+            outcome.record(&piece, sent, now);
         }
         now += 2;
     }
-    tally
+    outcome
 }
 
-/// Symptom: for as long as a burst of long outputs lasts, and after it, every stream begins late.
-/// Sequence: for three seconds a fifth more streams come than there are places.
-/// Cause: in the order of arrival each waits behind all before it. Who can be on time goes before
-/// who is late already, so that the wait falls on a few.
+/// Guards against streams that all begin late during a burst of long outputs and after it. For three seconds
+/// a fifth more streams arrive than there are slots for. In the order of arrival each waits behind all earlier
+/// ones. Streams that can still be on time must go before those that are already late, so that only a few
+/// have to wait.
 #[test]
 fn verify_a_burst_of_outputs_makes_a_few_streams_late_and_not_all() {
     let at = |arrived| Piece { kind: QUESTION, arrived, work: 600 };
@@ -190,20 +189,21 @@
     let burst = (0..600).map(|n| 2_000 + n * 5);
     let pieces: Vec<Piece> = before.chain(burst).chain(after).map(at).collect();
 
-    let (paced, at_once) = (generate(&pieces, 100, true), generate(&pieces, 100, false));
+    let (paced, at_once) =
+        (simulate_generator(&pieces, 100, true), simulate_generator(&pieces, 100, false));
 
-    let late = |tally: &Tally| tally.questions - tally.questions_on_time;
+    let late = |outcome: &Outcome| outcome.questions - outcome.questions_on_time;
     assert!(late(&at_once) > 100, "{at_once:?}");
     assert!(late(&paced) * 2 < late(&at_once), "{paced:?} {at_once:?}");
-    assert!(paced.longest_wait < QUESTION.patience, "{paced:?}");
+    assert!(paced.longest_wait < QUESTION.wait_limit, "{paced:?}");
 }
 
 #[test]
-fn verify_engines_with_few_places_are_used() {
+fn verify_engines_with_few_slots_are_used() {
     let waiting =
         Waiting { age: Millis(9_000), objective: Millis(100), wait_limit: Millis(100_000) };
     for slots in [1, 2, 3] {
-        let places = Slots { slots, in_flight: 0 };
-        assert_eq!(pace_generating(&waiting, 20.0, 5_000.0, places), Pace::Free, "{slots}");
+        let engine_slots = Slots { slots, in_flight: 0 };
+        assert_eq!(pace_generating(&waiting, 20.0, 5_000.0, engine_slots), Pace::Free, "{slots}");
     }
 }
--- a/crates/anvilhook-core/tests/quarantine.rs
+++ b/crates/anvilhook-core/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! Which requests are quarantined.
+//! Tests which requests are quarantined.
 
 use anvilhook_core::fingerprints::Fingerprint;
 use anvilhook_core::quarantine::{
@@ -8,204 +8,213 @@
 
 const REQUEST: Fingerprint = Fingerprint(7);
 
-fn book() -> QuarantineTracker {
+fn tracker() -> QuarantineTracker {
     QuarantineTracker::new(QuarantineOptions::default())
 }
 
-/// Has an engine end under the request.
-fn record(book: &mut QuarantineTracker, engine: u32, at: Millis) -> EndOutcome {
-    book.record_end(REQUEST, EngineEnd { engine, at }, at)
+/// Records that an engine terminated while running the request.
+fn record(tracker: &mut QuarantineTracker, engine: u32, at: Millis) -> EndOutcome {
+    tracker.record_end(REQUEST, EngineEnd { engine, at }, at)
 }
 
-/// Has so many engines end under it.
-fn end_under(book: &mut QuarantineTracker, engines: u32, at: Millis) {
+/// Records that this many engines terminated while running the request.
+fn end_under(tracker: &mut QuarantineTracker, engines: u32, at: Millis) {
     for engine in 1..=engines {
-        record(book, engine, at);
+        record(tracker, engine, at);
     }
 }
 
-/// A request that ends each engine is never told from those that ran beside it.
+/// Guards against a poison request that is never distinguished from the requests that ran alongside it.
 #[test]
 fn verify_three_ends_quarantine_a_request() {
-    let mut book = book();
+    let mut tracker = tracker();
 
-    let weighed = [1, 2, 3, 4].map(|engine| record(&mut book, engine, Millis(5)));
+    let outcomes = [1, 2, 3, 4].map(|engine| record(&mut tracker, engine, Millis(5)));
 
     let expected =
         [EndOutcome::Counted, EndOutcome::Counted, EndOutcome::Quarantined, EndOutcome::Explained];
-    assert_eq!(weighed, expected);
-    assert_eq!(book.status(REQUEST, Millis(6)), SuspectStatus::Quarantined);
-    assert_eq!(book.status(Fingerprint(8), Millis(6)), SuspectStatus::Clear);
+    assert_eq!(outcomes, expected);
+    assert_eq!(tracker.status(REQUEST, Millis(6)), SuspectStatus::Quarantined);
+    assert_eq!(tracker.status(Fingerprint(8), Millis(6)), SuspectStatus::Clear);
 }
 
-/// One engine's end is counted once for each instance that tells of it.
+/// Guards against counting the end of one engine once for each instance that reports it.
 #[test]
 fn verify_an_engine_that_ended_counts_once() {
-    let mut book = book();
+    let mut tracker = tracker();
 
-    let weighed = [1, 1, 1].map(|engine| record(&mut book, engine, Millis(5)));
+    let outcomes = [1, 1, 1].map(|engine| record(&mut tracker, engine, Millis(5)));
 
-    assert_eq!(weighed, [EndOutcome::Counted, EndOutcome::Ignored, EndOutcome::Ignored]);
-    assert_eq!(book.status(REQUEST, Millis(6)), SuspectStatus::Suspected(1));
+    assert_eq!(outcomes, [EndOutcome::Counted, EndOutcome::Ignored, EndOutcome::Ignored]);
+    assert_eq!(tracker.status(REQUEST, Millis(6)), SuspectStatus::Suspected(1));
 }
 
-/// Many callers' equal requests ran well all the time, and are refused once three engines of a rack end.
+/// Guards against refusing equal requests of many callers that always complete successfully, after three engines
+/// of one rack have terminated.
 #[test]
-fn verify_what_runs_well_is_not_suspected() {
-    let mut book = book();
-    book.record_success(REQUEST, Millis(1_000));
+fn verify_requests_that_complete_are_not_suspected() {
+    let mut tracker = tracker();
+    tracker.record_success(REQUEST, Millis(1_000));
 
-    let of_rack = [1, 2, 3].map(|engine| record(&mut book, engine, Millis(2_000)));
+    let rack_outcomes = [1, 2, 3].map(|engine| record(&mut tracker, engine, Millis(2_000)));
 
-    assert_eq!(of_rack, [EndOutcome::Ignored; 3]);
-    assert_eq!(book.status(REQUEST, Millis(2_000)), SuspectStatus::Clear);
+    assert_eq!(rack_outcomes, [EndOutcome::Ignored; 3]);
+    assert_eq!(tracker.status(REQUEST, Millis(2_000)), SuspectStatus::Clear);
 }
 
-/// A request that once ran well may end engines for ever after.
+/// Guards against a request that may terminate engines forever because it once completed successfully.
 #[test]
-fn verify_a_run_that_ended_well_does_not_clear_for_ever() {
-    let mut book = book();
-    book.record_success(REQUEST, Millis(1_000));
+fn verify_a_successful_run_does_not_clear_a_request_forever() {
+    let mut tracker = tracker();
+    tracker.record_success(REQUEST, Millis(1_000));
 
-    end_under(&mut book, 3, Millis(61_001));
+    end_under(&mut tracker, 3, Millis(61_001));
 
-    assert_eq!(book.status(REQUEST, Millis(61_001)), SuspectStatus::Quarantined);
+    assert_eq!(tracker.status(REQUEST, Millis(61_001)), SuspectStatus::Quarantined);
 }
 
-/// A request stays suspected though it runs well.
+/// Guards against a request that remains suspected although it completes successfully.
 #[test]
-fn verify_a_run_that_ends_well_clears_a_suspect() {
-    let mut book = book();
-    end_under(&mut book, 2, Millis(5));
+fn verify_a_successful_run_clears_a_suspect() {
+    let mut tracker = tracker();
+    end_under(&mut tracker, 2, Millis(5));
 
-    assert!(book.record_success(REQUEST, Millis(6)));
-    assert!(!book.record_success(REQUEST, Millis(7)));
+    assert!(tracker.record_success(REQUEST, Millis(6)));
+    assert!(!tracker.record_success(REQUEST, Millis(7)));
 
-    assert_eq!(book.status(REQUEST, Millis(8)), SuspectStatus::Clear);
+    assert_eq!(tracker.status(REQUEST, Millis(8)), SuspectStatus::Clear);
 }
 
-/// A quarantine lapses while its request goes on coming, and each lapse ends another engine.
+/// Guards against a quarantine that lapses while its request still arrives. Each lapse would terminate another
+/// engine.
 #[test]
-fn verify_a_quarantine_lasts_while_its_request_comes() {
-    let mut book = book();
+fn verify_a_quarantine_lasts_while_its_request_arrives() {
+    let mut tracker = tracker();
     let memory = QuarantineOptions::default().memory;
-    end_under(&mut book, 3, Millis::ZERO);
+    end_under(&mut tracker, 3, Millis::ZERO);
 
-    book.record_arrival(REQUEST, memory - Millis(1));
+    tracker.record_arrival(REQUEST, memory - Millis(1));
 
-    assert_eq!(book.status(REQUEST, memory + Millis(1)), SuspectStatus::Quarantined);
-    assert_eq!(book.status(REQUEST, memory * 2), SuspectStatus::Clear);
+    assert_eq!(tracker.status(REQUEST, memory + Millis(1)), SuspectStatus::Quarantined);
+    assert_eq!(tracker.status(REQUEST, memory * 2), SuspectStatus::Clear);
 }
 
-/// In a storm of ends, requests that met three of them by chance are refused.
+/// Guards against refusing requests that met three ends by chance while many engines terminate.
 #[test]
-fn verify_more_ends_are_needed_where_engines_end_of_themselves() {
+fn verify_more_ends_are_needed_while_many_engines_terminate() {
     const OTHER: Fingerprint = Fingerprint(8);
-    let mut book = book();
-    // Of each four engines that end at a time, one ran the request.
+    let mut tracker = tracker();
+    // Four engines terminate at a time, and one of them ran the request.
     let storm = (1..=5_u32).map(|burst| {
         let at = Millis(u64::from(burst) * 1_000);
         for engine in 1..=3 {
-            book.record_end(OTHER, EngineEnd { engine: burst * 10 + engine, at }, at);
-            book.lift(OTHER, at);
+            tracker.record_end(OTHER, EngineEnd { engine: burst * 10 + engine, at }, at);
+            tracker.lift(OTHER, at);
         }
-        record(&mut book, burst * 10, at)
+        record(&mut tracker, burst * 10, at)
     });
 
-    let weighed: Vec<EndOutcome> = storm.collect();
+    let outcomes: Vec<EndOutcome> = storm.collect();
 
     let expected = [[EndOutcome::Counted; 4].as_slice(), &[EndOutcome::Quarantined]].concat();
-    assert_eq!(weighed, expected);
+    assert_eq!(outcomes, expected);
 }
 
-/// An engine that ends of itself meanwhile hides a request that ends one after the other.
+/// Guards against an engine that terminates for another reason and so hides a request that terminates one engine
+/// after the other.
 #[test]
-fn verify_a_single_end_of_another_hides_nothing() {
-    let mut book = book();
-    book.record_end(Fingerprint(8), EngineEnd { engine: 8, at: Millis(500) }, Millis(500));
-    record(&mut book, 1, Millis(1_000));
-    book.record_end(Fingerprint(8), EngineEnd { engine: 9, at: Millis(1_500) }, Millis(1_500));
-    record(&mut book, 2, Millis(2_000));
+fn verify_an_unrelated_single_end_does_not_hide_a_poison_request() {
+    let mut tracker = tracker();
+    tracker.record_end(Fingerprint(8), EngineEnd { engine: 8, at: Millis(500) }, Millis(500));
+    record(&mut tracker, 1, Millis(1_000));
+    tracker.record_end(Fingerprint(8), EngineEnd { engine: 9, at: Millis(1_500) }, Millis(1_500));
+    record(&mut tracker, 2, Millis(2_000));
 
-    assert_eq!(record(&mut book, 3, Millis(3_000)), EndOutcome::Quarantined);
+    assert_eq!(record(&mut tracker, 3, Millis(3_000)), EndOutcome::Quarantined);
 }
 
-/// An operator's word does not bring a request back, or spares it what it does afterwards.
+/// Guards against two faults after an operator lifts a quarantine: the request is still refused, or its later
+/// ends are not counted.
 #[test]
-fn verify_a_lifted_request_is_counted_anew() {
-    let mut book = book();
-    end_under(&mut book, 3, Millis(1));
+fn verify_a_lifted_request_is_counted_from_zero() {
+    let mut tracker = tracker();
+    end_under(&mut tracker, 3, Millis(1));
 
-    assert!(book.lift(REQUEST, Millis(2)));
+    assert!(tracker.lift(REQUEST, Millis(2)));
 
-    assert_eq!(book.status(REQUEST, Millis(2)), SuspectStatus::Clear);
-    assert_eq!(record(&mut book, 4, Millis(3)), EndOutcome::Counted);
+    assert_eq!(tracker.status(REQUEST, Millis(2)), SuspectStatus::Clear);
+    assert_eq!(record(&mut tracker, 4, Millis(3)), EndOutcome::Counted);
 }
 
-/// Suspects without end fill the memory, or those with the most against them are forgotten first.
+/// Guards against an unbounded number of suspects in memory, and against evicting the suspects with the most
+/// evidence first.
 #[test]
-fn verify_the_book_is_bounded_and_keeps_the_worst() {
+fn verify_the_tracker_is_bounded_and_retains_the_worst_suspects() {
     let options = QuarantineOptions { max_requests: 4, ..QuarantineOptions::default() };
-    let mut book = QuarantineTracker::new(options);
-    end_under(&mut book, 3, Millis::ZERO);
+    let mut tracker = QuarantineTracker::new(options);
+    end_under(&mut tracker, 3, Millis::ZERO);
 
     for other in 100..200 {
         let at = Millis(other as u64);
-        book.record_end(Fingerprint(other), EngineEnd { engine: other as u32, at }, at);
-        book.record_success(Fingerprint(other + 1_000), Millis(other as u64));
+        tracker.record_end(Fingerprint(other), EngineEnd { engine: other as u32, at }, at);
+        tracker.record_success(Fingerprint(other + 1_000), Millis(other as u64));
     }
 
-    assert_eq!(book.suspects(Millis(200)).count(), 4);
-    assert_eq!(book.status(REQUEST, Millis(200)), SuspectStatus::Quarantined);
+    assert_eq!(tracker.suspects(Millis(200)).count(), 4);
+    assert_eq!(tracker.status(REQUEST, Millis(200)), SuspectStatus::Quarantined);
 }
 
-/// An instance that has not heard of a clearance tells old ends on, and the request is suspected anew.
+/// Guards against suspecting a request again because an instance that has not yet received its clearance forwards
+/// earlier ends.
 #[test]
-fn verify_ends_of_before_a_clearance_are_not_believed_after_it() {
-    let mut book = book();
-    end_under(&mut book, 2, Millis(1_000));
-    book.lift(REQUEST, Millis(2_000));
+fn verify_ends_before_a_clearance_are_ignored_after_it() {
+    let mut tracker = tracker();
+    end_under(&mut tracker, 2, Millis(1_000));
+    tracker.lift(REQUEST, Millis(2_000));
 
-    let old = book.record_end(REQUEST, EngineEnd { engine: 2, at: Millis(1_000) }, Millis(60_000));
-    let new = book.record_end(REQUEST, EngineEnd { engine: 3, at: Millis(59_000) }, Millis(60_000));
+    let old =
+        tracker.record_end(REQUEST, EngineEnd { engine: 2, at: Millis(1_000) }, Millis(60_000));
+    let new =
+        tracker.record_end(REQUEST, EngineEnd { engine: 3, at: Millis(59_000) }, Millis(60_000));
 
     assert_eq!((old, new), (EndOutcome::Ignored, EndOutcome::Counted));
 }
 
-/// What ran beside a request that is quarantined follows it with the next engine that ends under it.
+/// Guards against quarantining a request that ran alongside a quarantined one, with the next engine that
+/// terminates.
 #[test]
-fn verify_ends_that_a_quarantined_request_explains_speak_against_no_other() {
+fn verify_explained_ends_do_not_count_against_other_requests() {
     let other = Fingerprint(8);
-    let beside = |book: &mut QuarantineTracker, engine, at| {
-        book.record_end(other, EngineEnd { engine, at: Millis(at) }, Millis(at))
+    let record_other = |tracker: &mut QuarantineTracker, engine, at| {
+        tracker.record_end(other, EngineEnd { engine, at: Millis(at) }, Millis(at))
     };
-    let mut book = book();
-    record(&mut book, 1, Millis(100));
-    record(&mut book, 2, Millis(200));
-    beside(&mut book, 2, 200);
-    record(&mut book, 3, Millis(300));
-    beside(&mut book, 3, 300);
+    let mut tracker = tracker();
+    record(&mut tracker, 1, Millis(100));
+    record(&mut tracker, 2, Millis(200));
+    record_other(&mut tracker, 2, 200);
+    record(&mut tracker, 3, Millis(300));
+    record_other(&mut tracker, 3, 300);
 
-    let weighed = [record(&mut book, 4, Millis(400)), beside(&mut book, 4, 400)];
+    let outcomes = [record(&mut tracker, 4, Millis(400)), record_other(&mut tracker, 4, 400)];
 
-    assert_eq!(weighed, [EndOutcome::Explained, EndOutcome::Ignored]);
-    assert_eq!(book.status(REQUEST, Millis(500)), SuspectStatus::Quarantined);
-    assert_eq!(book.status(other, Millis(500)), SuspectStatus::Clear);
+    assert_eq!(outcomes, [EndOutcome::Explained, EndOutcome::Ignored]);
+    assert_eq!(tracker.status(REQUEST, Millis(500)), SuspectStatus::Quarantined);
+    assert_eq!(tracker.status(other, Millis(500)), SuspectStatus::Clear);
 }
 
-/// Two requests ran at the same three engines, and the one that ends them is cleared by the other.
+/// Guards against a poison request that is cleared because another request ran at the same three engines.
 #[test]
-fn verify_neither_of_two_alike_suspects_hides_the_other() {
+fn verify_two_suspects_with_the_same_ends_are_both_quarantined() {
     let other = Fingerprint(8);
-    let mut book = book();
+    let mut tracker = tracker();
 
     for engine in 1..=3 {
         let at = Millis(u64::from(engine) * 100);
-        book.record_end(other, EngineEnd { engine, at }, at);
-        record(&mut book, engine, at);
+        tracker.record_end(other, EngineEnd { engine, at }, at);
+        record(&mut tracker, engine, at);
     }
 
     for request in [REQUEST, other] {
-        assert_eq!(book.status(request, Millis(500)), SuspectStatus::Quarantined);
+        assert_eq!(tracker.status(request, Millis(500)), SuspectStatus::Quarantined);
     }
 }
--- a/crates/anvilhook-core/tests/ranks.rs
+++ b/crates/anvilhook-core/tests/ranks.rs
@@ -1,26 +1,27 @@
-//! Which instance acts for others.
+//! Tests which instance acts for others.
 
 use anvilhook_core::ranks::{number_of, rank_of};
 
-/// Requests waited behind what a slow instance told for its whole availability zone. The widest link goes
-/// first, whatever else is drawn, in each matter.
+/// Guards against requests that wait behind the updates that an instance with a slow link publishes for its
+/// whole availability zone. The fastest link ranks first in every task, whatever the random bits and hashes.
 #[test]
 fn verify_wider_links_rank_first() {
-    let widths = [None, Some(f64::NAN), Some(0.5), Some(1.0), Some(10.0), Some(20.0), Some(200.0)];
+    let link_speeds =
+        [None, Some(f64::NAN), Some(0.5), Some(1.0), Some(10.0), Some(20.0), Some(200.0)];
     let rank = |mbps, random, hash| rank_of(number_of(mbps, random), hash);
-    for (at, narrow) in widths.iter().enumerate() {
-        for wide in &widths[at.max(2) + 1..] {
-            let (most, least) = (rank(*narrow, u64::MAX, u64::MAX), rank(*wide, 0, 0));
-            assert!(least > most, "{wide:?} before {narrow:?}");
+    for (at, slow) in link_speeds.iter().enumerate() {
+        for fast in &link_speeds[at.max(2) + 1..] {
+            let (highest_slow, lowest_fast) = (rank(*slow, u64::MAX, u64::MAX), rank(*fast, 0, 0));
+            assert!(lowest_fast > highest_slow, "{fast:?} ranks before {slow:?}");
         }
     }
     let absurd = number_of(Some(f64::INFINITY), 0);
-    assert!(absurd >= number_of(Some(1e30), 0), "no width overflows");
+    assert!(absurd >= number_of(Some(1e30), 0), "link speeds do not overflow");
 }
 
-/// With one instance first in everything it would do all the work of instances with links alike.
+/// Guards against one instance that acts in every task although the links of all instances are equal.
 #[test]
-fn verify_instances_with_links_alike_share_the_matters() {
+fn verify_instances_with_equal_links_share_the_tasks() {
     let numbers = [1_u64, 2, 3].map(|random| number_of(Some(10.0), random << 8));
     let first = |hashes: [u64; 3]| {
         let ranks = numbers.iter().zip(hashes).map(|(number, hash)| rank_of(*number, hash));
--- a/crates/anvilhook-core/tests/readers.rs
+++ b/crates/anvilhook-core/tests/readers.rs
@@ -1,4 +1,4 @@
-//! Which instances read which engines, and when.
+//! Tests which instances poll which engines for load reports, and when.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -31,10 +31,10 @@
 }
 
 #[test]
-fn verify_readers_are_few_even_and_in_two_zones() {
-    // Instances, zones, engines, the readings of one instance at most.
+fn verify_readers_are_few_balanced_and_in_two_zones() {
+    // Instances, zones, engines, and the maximum number of engines that one instance polls.
     let cases = [(1, 1, 12, 12), (3, 3, 12, 12), (9, 3, 12, 6), (9, 1, 12, 6), (390, 5, 600, 12)];
-    for (count, zones, engine_count, most) in cases {
+    for (count, zones, engine_count, max_polls) in cases {
         let (members, engines) = (fleet(count, zones), engines(engine_count));
         let zone_of: BTreeMap<_, _> = members.iter().cloned().collect();
 
@@ -49,29 +49,32 @@
                 *loads.entry(name).or_default() += 1;
             }
         }
-        let greatest = loads.values().max().copied().unwrap_or(0);
+        let highest = loads.values().max().copied().unwrap_or(0);
         let mean = (READERS.min(count) * engine_count) as f64 / count as f64;
-        println!("{count} instances, {engine_count} engines: mean {mean:.1}, most {greatest}");
-        assert!(greatest <= most, "{count}/{engine_count}: {greatest}");
+        println!("{count} instances, {engine_count} engines: mean {mean:.1}, max {highest}");
+        assert!(highest <= max_polls, "{count}/{engine_count}: {highest}");
     }
 }
 
 #[test]
-fn verify_only_the_readings_of_who_leaves_or_joins_move() {
+fn verify_a_leave_or_join_moves_only_the_readers_affected() {
     for (count, zones, engine_count) in [(9, 3, 12), (9, 1, 12), (390, 5, 600)] {
         let (members, engines) = (fleet(count, zones), engines(engine_count));
         let all = readers(&members, &engines);
-        for gone in [0, count / 2, count - 1] {
-            let mut rest = members.clone();
-            let (left, _) = rest.remove(gone);
+        for leaving in [0, count / 2, count - 1] {
+            let mut remaining = members.clone();
+            let (leaver, _) = remaining.remove(leaving);
 
-            // Read backwards, it is a join.
-            let fewer = readers(&rest, &engines);
+            // In reverse, this is a join.
+            let fewer = readers(&remaining, &engines);
 
             for (before, after) in all.iter().zip(&fewer) {
-                let kept = before.intersection(after).count();
-                let moved = READERS - kept;
-                assert!(moved == 0 || before.contains(&left), "{before:?} became {after:?}");
+                let retained = before.intersection(after).count();
+                let changed = READERS - retained;
+                assert!(
+                    changed == 0 || before.contains(&leaver),
+                    "{before:?} changed to {after:?}"
+                );
             }
         }
     }
@@ -89,55 +92,54 @@
 }
 
 #[test]
-fn verify_missed_engines_are_read_at_a_bounded_rate() {
-    // Symptom: all engines are flooded with readings.
-    // Sequence: an instance loses all links, and misses the digests of 600 engines at once.
-    // Cause: each missed engine is read each turn.
+fn verify_missed_engines_are_polled_at_a_bounded_rate() {
+    // Guards against flooding all engines with polls. An instance loses all links and misses the digests of
+    // 600 engines at once. The flood comes about if each missed engine is polled in each turn.
     let engines = engines(600);
     let options = PollOptions::default();
     let mut schedule = PollSchedule::new(options);
     schedule.set_engines(&engines, &engines[..3].iter().cloned().collect());
-    let mut reads: BTreeMap<UpstreamName, u64> = BTreeMap::new();
+    let mut polls: BTreeMap<UpstreamName, u64> = BTreeMap::new();
 
     const SECONDS: u64 = 40;
     for turn in 0..SECONDS * 4 {
         for name in schedule.due(Millis(turn * 250)) {
             schedule.ended(&name);
-            *reads.entry(name).or_default() += 1;
+            *polls.entry(name).or_default() += 1;
         }
     }
 
-    let of_own: u64 = engines[..3].iter().map(|name| reads[name]).sum();
-    assert_eq!(of_own, 3 * SECONDS * 4, "own engines are read each turn all the same");
-    let of_others: u64 = reads.values().sum::<u64>() - of_own;
-    // A full second's allowance is there at the start.
-    assert!(of_others <= options.missed_per_s * (SECONDS + 1), "{of_others}");
-    assert_eq!(reads.len(), 600, "each is read in the end");
+    let own_polls: u64 = engines[..3].iter().map(|name| polls[name]).sum();
+    assert_eq!(own_polls, 3 * SECONDS * 4, "own engines are still polled in each turn");
+    let other_polls: u64 = polls.values().sum::<u64>() - own_polls;
+    // The polls of one full second are available at the start.
+    assert!(other_polls <= options.missed_per_s * (SECONDS + 1), "{other_polls}");
+    assert_eq!(polls.len(), 600, "each engine is polled eventually");
 }
 
 #[test]
-fn verify_who_is_told_of_an_engine_reads_it_only_when_digests_stop() {
+fn verify_an_instance_polls_others_engines_only_when_digests_stop() {
     let engine = &engines(1)[0];
     let mut schedule = PollSchedule::new(PollOptions::default());
     schedule.set_engines([engine], &BTreeSet::new());
-    let mut read_at = Vec::new();
+    let mut polled_at = Vec::new();
 
     for now in (0..12_000).step_by(250).map(Millis) {
-        // The first digest comes in at 250 ms, the last one at 5 s.
+        // The first digest arrives at 250 ms, the last one at 5 s.
         if (250..=5_000).contains(&now.0) {
             schedule.record_digest(engine, now);
         }
         for name in schedule.due(now) {
             schedule.ended(&name);
-            read_at.push(now.0);
+            polled_at.push(now.0);
         }
     }
 
-    assert_eq!(read_at, [0, 9_250, 10_500, 11_750]);
+    assert_eq!(polled_at, [0, 9_250, 10_500, 11_750]);
 }
 
 #[test]
-fn verify_a_reading_that_hangs_is_not_begun_again() {
+fn verify_a_poll_that_hangs_is_not_repeated() {
     let engines = engines(2);
     let mut schedule = PollSchedule::new(PollOptions::default());
     schedule.set_engines(&engines, &engines.iter().cloned().collect());
