--- a/crates/anvilhook-core/tests/resources.rs
+++ b/crates/anvilhook-core/tests/resources.rs
@@ -1,4 +1,5 @@
-//! The rules of resources: fields, defaults, references, and what a change must not strand.
+//! Tests the rules of resources: fields, defaults, references, and which changes are refused because other
+//! resources depend on the old state.
 
 use anvilhook_core::names::ResourceName;
 use anvilhook_core::orders::Role;
@@ -50,8 +51,9 @@
     json!({"pool": "main", "target": {"engines": [engine]}})
 }
 
-/// Declares a model, a pool of three engines, a service and a drain plan.
-fn site() -> Configuration {
+/// Returns a configuration with two model versions, a pool of three engines, a spare pool, a service and a
+/// drain plan.
+fn base_configuration() -> Configuration {
     let changes = [
         put("ModelVersion/checklist-1", version(1)),
         put("ModelVersion/checklist-2", version(2)),
@@ -71,15 +73,15 @@
     cfg
 }
 
-/// Declares a plain service with one upstream and one call.
+/// Returns the spec of a plain service with one upstream and one call.
 fn plain_service() -> Value {
     let upstream = json!({"name": "a", "address": "127.0.0.1:1", "zone": "z"});
     let call = json!({"method": "POST", "path_prefix": "/alerts"});
     json!({"backend": {"type": "plain", "upstreams": [upstream], "calls": [call]}})
 }
 
-/// Returns a spec that keeps all rules.
-fn good(kind: Kind) -> Value {
+/// Returns a spec that satisfies all rules.
+fn valid_spec(kind: Kind) -> Value {
     match kind {
         Kind::Account => json!({"token_sha256": [], "requests_per_s": 1, "open_requests": 1}),
         Kind::ModelVersion => version(1),
@@ -94,7 +96,7 @@
 #[test]
 fn verify_bad_fields_are_named() {
     use Kind::*;
-    // Kind, field, bad value, what is expected of it.
+    // Kind, field, invalid value, and the expectation that the error states.
     let cases = [
         (Account, "token_sha256[0]", json!("ab"), "64 hexadecimal digits"),
         (Account, "requests_per_s", json!(0), "at least 1"),
@@ -125,7 +127,7 @@
         (Service, "backend.calls[0].path_prefix", json!("a"), "a path that begins with '/'"),
     ];
     for (kind, field, value, expected) in cases {
-        let mut spec = good(kind);
+        let mut spec = valid_spec(kind);
         set(&mut spec, field, value);
 
         let err = Spec::decode(kind, spec.clone()).and_then(|spec| spec.check()).unwrap_err();
@@ -135,7 +137,7 @@
     }
 }
 
-/// Sets the field with a path such as `a.b[0].c`, which may be one past the end of a list.
+/// Sets the field at a path such as `a.b[0].c`. An index may be one past the end of its list.
 fn set(spec: &mut Value, path: &str, value: Value) {
     let mut at = spec;
     for part in path.replace('[', ".").replace(']', "").split('.') {
@@ -160,7 +162,7 @@
         (Kind::Service, "backend", "spec.backend: expected a value"),
     ];
     for (kind, field, expected) in cases {
-        let mut spec = good(kind);
+        let mut spec = valid_spec(kind);
         spec.as_object_mut().unwrap().remove(field);
 
         let err = Spec::decode(kind, spec).unwrap_err();
@@ -173,7 +175,7 @@
 }
 
 #[test]
-fn verify_defaults_are_the_careful_ones() {
+fn verify_defaults_are_conservative() {
     let Spec::Engine(engine) = Spec::decode(Kind::Engine, engine("main")).unwrap() else {
         panic!()
     };
@@ -209,20 +211,21 @@
 EnginePool/main is still needed by Service/verdicts (spec.backend.pool), Engine/e1 (spec.pool), \
 Engine/e2 (spec.pool), Engine/e3 (spec.pool), DrainPlan/first (spec.pool); change that first";
 
-    let told = refused.map(|change| change.check(&site()).unwrap_err().to_string());
+    let messages =
+        refused.map(|change| change.check(&base_configuration()).unwrap_err().to_string());
 
-    assert_eq!(told.join("\n"), reasons);
+    assert_eq!(messages.join("\n"), reasons);
 }
 
-/// Symptom: an engine is given conflicting orders, each under a valid lease.
-/// Sequence: its address is declared again under another name, in another pool.
-/// Cause: authority goes by pools, and nothing said that the two are one engine.
+/// Guards against an engine that is given conflicting orders, each under a valid lease. Its address is
+/// declared again under another name in another pool. Authority is held per pool, so without this check the
+/// two count as different engines.
 #[test]
 fn verify_nothing_is_declared_twice() {
     let bounds = json!({"pool": "main", "role": "decode", "min_engines": 1, "max_engines": 4});
     let account =
         json!({"token_sha256": ["ab".repeat(32)], "requests_per_s": 1, "open_requests": 1});
-    let cfg = site()
+    let cfg = base_configuration()
         .with_change(Revision(10), &put("Role/decode", bounds.clone()))
         .with_change(Revision(11), &put("Account/cook", account.clone()));
     let refused = [
@@ -237,49 +240,49 @@
 spec.role: expected a role that has no bounds in the pool yet, but Role/decode has it
 spec.token_sha256[0]: expected a token that no other account has, but Account/cook has it";
 
-    let told = refused.map(|change| change.check(&cfg).unwrap_err().to_string());
+    let messages = refused.map(|change| change.check(&cfg).unwrap_err().to_string());
 
-    assert_eq!(told.join("\n"), reasons);
-    // What is there may be put again.
+    assert_eq!(messages.join("\n"), reasons);
+    // Existing resources may be put again.
     for change in [put("Role/decode", bounds), put("Account/cook", account)] {
         assert_eq!(change.check(&cfg), Ok(()));
     }
 }
 
 #[test]
-fn verify_what_nothing_needs_may_change() {
+fn verify_unreferenced_resources_may_change() {
     let allowed = [
         delete("ModelVersion/checklist-2"),
         delete("EnginePool/spare"),
         delete("Service/verdicts"),
-        // A plan may outlive the engine that it drained.
+        // A plan may still exist after the engine that it drained is deleted.
         delete("Engine/e1"),
         put("EnginePool/main", pool(2)),
     ];
     for change in allowed {
-        assert_eq!(change.check(&site()), Ok(()), "{}", change.key);
+        assert_eq!(change.check(&base_configuration()), Ok(()), "{}", change.key);
     }
 }
 
-/// Symptom: a pool serves with fewer engines than its operator allows during planned changes.
-/// Sequence: engines are deleted one by one, each deletion looking harmless.
-/// Cause: only references were checked, and an engine is referred to by nothing.
+/// Guards against a pool that serves with fewer engines than its operator allows during planned changes.
+/// Engines are deleted one by one, and each deletion looks harmless. Checking references is not enough, since
+/// nothing refers to an engine.
 #[test]
-fn verify_a_pool_keeps_its_least_number_of_engines() {
-    let one_left = site().with_change(Revision(20), &delete("Engine/e1"));
+fn verify_a_pool_keeps_its_minimum_number_of_engines() {
+    let one_deleted = base_configuration().with_change(Revision(20), &delete("Engine/e1"));
 
-    let err = delete("Engine/e2").check(&one_left).unwrap_err();
+    let err = delete("Engine/e2").check(&one_deleted).unwrap_err();
 
     let expected = "Engine/e2 is still needed by EnginePool/main (spec.min_serving is 2, left 1)";
     assert!(err.to_string().starts_with(expected), "{err}");
 }
 
-/// Symptom: an engine is given conflicting orders, each under a valid lease.
-/// Sequence: it is moved to another pool while the holder of its old pool has not heard of that.
-/// Cause: authority goes by pools, and a replaced spec takes effect on each instance at its own time.
+/// Guards against an engine that is given conflicting orders, each under a valid lease. The engine is moved
+/// to another pool while the holder of its old pool has not yet received the change. Authority is held per
+/// pool, and a replaced spec takes effect at a different time on each instance.
 #[test]
 fn verify_an_engine_stays_in_its_pool() {
-    let err = put("Engine/e2", engine_at("spare", 7002)).check(&site()).unwrap_err();
+    let err = put("Engine/e2", engine_at("spare", 7002)).check(&base_configuration()).unwrap_err();
 
     let expected = "spec.pool: expected main as declared; to move the engine drain it, delete it";
     assert!(err.to_string().starts_with(expected), "{err}");
@@ -287,7 +290,7 @@
 
 #[test]
 fn verify_changes_of_one_resource_can_be_applied_twice() {
-    let base = site();
+    let base = base_configuration();
     let change = put("Engine/e1", engine("spare"));
 
     let once = base.with_change(Revision(10), &change);
@@ -309,7 +312,7 @@
         (Expected::Version(Revision(3)), Some(4), false),
         (Expected::Version(Revision(3)), None, false),
     ];
-    for (expected, standing, matches) in cases {
-        assert_eq!(expected.matches(standing.map(Revision)), matches, "{expected:?} {standing:?}");
+    for (expected, current, matches) in cases {
+        assert_eq!(expected.matches(current.map(Revision)), matches, "{expected:?} {current:?}");
     }
 }
--- a/crates/anvilhook-core/tests/roles.rs
+++ b/crates/anvilhook-core/tests/roles.rs
@@ -1,4 +1,4 @@
-//! The role planner.
+//! Tests the role planner.
 
 use anvilhook_core::orders::Role;
 use anvilhook_core::resources::RolePolicy;
@@ -29,20 +29,23 @@
     (0..12).map(engine).collect()
 }
 
-/// Long prompts whose output is read as it comes: reading stretches the time between tokens.
+/// Returns work of long prompts whose output is streamed to the caller. Prefill delays the tokens of other
+/// streams.
 fn long_and_tight() -> ObservedWork {
     let tight = Flow { requests: 17.0, prefill: 34_000.0, prompt: 34_000.0, output: 5_100.0 };
     ObservedWork { tight, patient: Flow::default() }
 }
 
-/// Short prompts with long output: a pool split for long prompts has too few engines that generate.
+/// Returns work of short prompts with long output. A pool that is split for long prompts has too few engines
+/// that generate.
 fn short() -> ObservedWork {
     let tight = Flow { requests: 30.0, prefill: 6_000.0, prompt: 6_000.0, output: 10_000.0 };
     ObservedWork { tight, patient: Flow::default() }
 }
 
-/// Plays a course of mixes and carries out each change at once. Returns the changes with times.
-fn play(
+/// Simulates a changing mix of work and applies each planned change immediately. Returns the changes with
+/// their times, and the engines at the end.
+fn simulate(
     options: PlanOptions,
     secs: u64,
     mix: impl Fn(u64) -> ObservedWork,
@@ -72,35 +75,36 @@
 
 #[test]
 fn verify_a_lasting_mix_changes_roles_step_by_step() {
-    let (changes, engines) = play(PlanOptions::new(policy(1.0)), 1_800, |_| long_and_tight());
+    let (changes, engines) = simulate(PlanOptions::new(policy(1.0)), 1_800, |_| long_and_tight());
 
     let counts = counts(&engines);
     assert!(counts.prefill >= 2 && counts.decode >= 2, "{counts:?}");
-    let mut at_once = std::collections::BTreeMap::<Millis, usize>::new();
-    changes.iter().for_each(|(at, _)| *at_once.entry(*at).or_default() += 1);
-    assert!(at_once.values().all(|changes| *changes <= 3), "{at_once:?}");
+    let mut changes_at = std::collections::BTreeMap::<Millis, usize>::new();
+    changes.iter().for_each(|(at, _)| *changes_at.entry(*at).or_default() += 1);
+    assert!(changes_at.values().all(|changes| *changes <= 3), "{changes_at:?}");
     let first = changes.first().expect("a change").0;
-    assert!(first >= Millis::from_secs(120), "at {first}: too little was known");
+    assert!(first >= Millis::from_secs(120), "at {first}: too little work had been observed");
 }
 
 #[test]
 fn verify_a_flapping_mix_does_not_make_roles_flap() {
-    // Symptom: engines are drained and changed to and fro, and serve nobody meanwhile.
-    // Sequence: the mix jumps to the other side every two minutes.
-    // Cause: planning for the present mix as if it would stay.
+    // Guards against engines that are drained and changed back and forth, and serve no requests meanwhile. The
+    // mix switches between two extremes every two minutes. The fault comes about if the planner assumes that
+    // the current mix will last.
     for weight in [1.0, 10.0] {
         let flap =
             |secs: u64| if (secs / 120).is_multiple_of(2) { short() } else { long_and_tight() };
-        let (changes, _) = play(PlanOptions::new(policy(weight)), 2 * 3_600, flap);
+        let (changes, _) = simulate(PlanOptions::new(policy(weight)), 2 * 3_600, flap);
 
-        // The first plan may take the first hour; after it at most two changes an hour.
+        // The first plan may be applied during the first hour. After it, at most two changes per hour are
+        // allowed.
         let later = changes.iter().filter(|(at, _)| *at > Millis::from_secs(3_600)).count();
         assert!(later <= 2, "weight {weight}: {later} changes");
     }
 }
 
 #[test]
-fn verify_policy_bounds_and_dwell_are_kept() {
+fn verify_policy_bounds_and_dwell_are_observed() {
     let usual = PlanOptions::new(policy(1.0));
     let manual = RolePolicy { automatic: false, ..policy(1.0) };
     let max = RoleCounts { prefill: 1, decode: 1, mixed: usize::MAX };
@@ -108,12 +112,12 @@
     let cases = [
         ("not automatic", PlanOptions { policy: manual, ..usual.clone() }, 0),
         ("bounded", PlanOptions { bounds, ..usual.clone() }, 1),
-        ("too dear", PlanOptions { policy: policy(1e6), ..usual }, 0),
+        ("too expensive", PlanOptions { policy: policy(1e6), ..usual }, 0),
     ];
-    for (what, options, most) in cases {
-        let (_, engines) = play(options, 1_800, |_| long_and_tight());
+    for (what, options, max_count) in cases {
+        let (_, engines) = simulate(options, 1_800, |_| long_and_tight());
 
         let counts = counts(&engines);
-        assert!(counts.prefill <= most && counts.decode <= most, "{what}: {counts:?}");
+        assert!(counts.prefill <= max_count && counts.decode <= max_count, "{what}: {counts:?}");
     }
 }
--- a/crates/anvilhook-core/tests/routing.rs
+++ b/crates/anvilhook-core/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Choosing an engine, lanes and prefix knowledge.
+//! Tests the choice of an engine, lanes and the index of cached prefixes.
 
 use std::sync::Arc;
 
@@ -61,9 +61,9 @@
 
 #[test]
 fn verify_work_sent_since_a_stale_report_counts() {
-    // Symptom: all requests of some seconds go to one engine.
-    // Sequence: two engines report empty queues; work is sent to one; no newer report comes.
-    // Cause: an estimate that rests on the report alone.
+    // Guards against sending all requests of some seconds to one engine. Two engines report empty queues, work
+    // is sent to one of them, and no newer report arrives. The fault comes about if the load is estimated from
+    // the reports alone.
     let now = Millis(5_000);
     for seed in 0..20 {
         let engines = engines(2);
@@ -91,8 +91,8 @@
 fn verify_older_report_is_ignored_and_new_boot_is_not() {
     let engine = &engines(1)[0];
     let now = Millis(5_000);
-    // Each: the boot, the number, the age, the queue in the report, the queue believed after it. The
-    // last is of the earlier boot, and a peer passed it on late.
+    // Each step: the boot, number, age and queue of a report, and the queue assumed after it. The last report
+    // is from the earlier boot and was forwarded late by a peer.
     let steps = [
         (1, 5, 0, 9_000, 9_000.0),
         (1, 4, 0, 1_000, 9_000.0),
@@ -100,28 +100,28 @@
         (1, 6, 800, 9_000, 2_000.0),
     ];
 
-    for (boot, seq, age, queue, believed) in steps {
+    for (boot, seq, age, queue, expected_queue) in steps {
         let report = LoadReport { age: Millis(age), ..report(boot, seq, queue) };
         let is_applied = engine.apply_report(&report, now);
-        assert_eq!(engine.load(now).prefill, believed, "boot {boot}, report {seq}");
-        assert_eq!(is_applied, believed == queue as f64, "boot {boot}, report {seq}");
+        assert_eq!(engine.load(now).prefill, expected_queue, "boot {boot}, report {seq}");
+        assert_eq!(is_applied, expected_queue == queue as f64, "boot {boot}, report {seq}");
     }
 }
 
 #[test]
-fn verify_what_a_peer_tells_again_counts_once() {
-    let sums = |requests, prompt| SentTotals {
+fn verify_repeated_totals_of_a_peer_count_once() {
+    let totals = |requests, prompt| SentTotals {
         requests,
         prompt: Tokens(prompt),
         output: Tokens(prompt / 10),
     };
-    // Each: the report that a peer's sums are since, the sums, what is new in them.
+    // Each step: the report since which a peer counts, its totals since then, and the part of them that is new.
     let steps = [
-        ((1, 5), sums(2, 800), sums(2, 800)),
-        ((1, 5), sums(2, 800), sums(0, 0)),
-        ((1, 5), sums(3, 900), sums(1, 100)),
-        ((1, 6), sums(1, 100), sums(1, 100)),
-        ((2, 6), sums(1, 100), sums(1, 100)),
+        ((1, 5), totals(2, 800), totals(2, 800)),
+        ((1, 5), totals(2, 800), totals(0, 0)),
+        ((1, 5), totals(3, 900), totals(1, 100)),
+        ((1, 6), totals(1, 100), totals(1, 100)),
+        ((2, 6), totals(1, 100), totals(1, 100)),
     ];
     let mut earlier = None;
     let engine = &engines(1)[0];
@@ -129,15 +129,15 @@
     engine.apply_report(&LoadReport { age: Millis(0), ..report(1, 5, 0) }, now);
 
     for ((boot, seq), sent, expected) in steps {
-        let told = SentSince { boot, seq, sent };
-        let beyond = told.added_since(earlier.as_ref());
-        assert_eq!(beyond, expected, "{told:?}");
-        engine.record_peer_sent(&beyond, now);
-        earlier = Some(told);
+        let sent_since = SentSince { boot, seq, sent };
+        let added = sent_since.added_since(earlier.as_ref());
+        assert_eq!(added, expected, "{sent_since:?}");
+        engine.record_peer_sent(&added, now);
+        earlier = Some(sent_since);
     }
 
     assert_eq!((engine.load(now).prefill, engine.load(now).requests), (1_100.0, 5.0));
-    assert_eq!(engine.sent(), SentTotals::default(), "a peer's work is not told as own");
+    assert_eq!(engine.sent(), SentTotals::default(), "a peer's work is not published as own work");
 }
 
 #[test]
@@ -152,21 +152,22 @@
 
     engines[0].set_leaving(true);
     (0..3).for_each(|_| engines[1].ejection().record_failure(Millis(10)));
-    let well = (0..50).map(|_| choose(&[], 20)).all(|chosen| chosen.as_deref() == Some("engine-2"));
-    // An engine that may fail is better than none.
-    let last = choose(&[engines[2].name().clone()], 20);
+    let chooses_healthy =
+        (0..50).map(|_| choose(&[], 20)).all(|chosen| chosen.as_deref() == Some("engine-2"));
+    // An engine that may fail is used if there is no other.
+    let last_resort = choose(&[engines[2].name().clone()], 20);
     engines[1].set_leaving(true);
     let none = choose(&[engines[2].name().clone()], 20);
 
-    assert!(well);
-    assert_eq!((last.as_deref(), none), (Some("engine-1"), None));
+    assert!(chooses_healthy);
+    assert_eq!((last_resort.as_deref(), none), (Some("engine-1"), None));
 }
 
 #[test]
 fn verify_instances_send_a_prefix_to_the_same_few_engines() {
-    // Symptom: caches hold the same few prefixes everywhere, and most prompts are read in full.
-    // Sequence: many instances meet many prefixes of which nothing is known yet.
-    // Cause: each instance choosing the least loaded engine for itself.
+    // Guards against caches that hold the same few prefixes on all engines, so that most prompts are prefilled
+    // in full. Many instances receive many prefixes that no cache is known to hold. The fault comes about if
+    // each instance independently chooses the least loaded engine.
     let topics: Vec<Vec<PrefixHash>> = (0..20).map(blocks).collect();
     for (topic, prefix) in topics.iter().enumerate() {
         let mut used = std::collections::BTreeSet::new();
@@ -184,44 +185,47 @@
 #[test]
 fn verify_lanes_follow_the_mix() {
     let lanes = Arc::new(Lanes::new());
-    let mut keeper = LaneBalancer::new(&PoolShape::default());
+    let mut balancer = LaneBalancer::new(&PoolShape::default());
     let table = RouteTable::new(engines(12)).with_lanes(lanes.clone());
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let documents = Flow { requests: 8.0, prefill: 24_000.0, prompt: 64_000.0, output: 400.0 };
     let questions = Flow { requests: 8.0, prefill: 1_600.0, prompt: 1_600.0, output: 1_600.0 };
-    // Each: how much of either there is, and the border that their engine time asks for. Once
-    // there were documents, one engine stays theirs.
+    // Each mix: the amounts of documents and of questions, and the border that follows from their engine time.
+    // Once there have been documents, at least one engine remains in their lane.
     let mixes = [((1.0, 0.0), 12.0), ((0.0, 4.0), 1.0), ((1.0, 1.0), 8.5), ((1.0, 4.0), 4.5)];
 
-    for ((patient, tight), wanted) in mixes {
+    for ((patient, tight), expected_border) in mixes {
         let seen =
             ObservedWork { patient: documents.times(patient), tight: questions.times(tight) };
-        (0..60).for_each(|_| keeper.update(&seen, 12, &lanes));
+        (0..60).for_each(|_| balancer.update(&seen, 12, &lanes));
 
         let range = |tight| lanes.range(tight, 12);
         let border = range(false).end as f64;
-        assert!((border - wanted).abs() < 0.75, "{patient} {tight}: {border} of {wanted}");
+        assert!(
+            (border - expected_border).abs() < 0.75,
+            "{patient} {tight}: {border} of {expected_border}"
+        );
         for _ in 0..20 {
             let chosen = table.choose(&question(), &[], Millis(5_000), &mut rng);
             let name = chosen.expect("an engine").name().as_str().to_owned();
-            let place: usize = name["engine-".len()..].parse().expect("a number");
-            assert!(range(true).contains(&place), "{place} outside {:?}", range(true));
+            let position: usize = name["engine-".len()..].parse().expect("a number");
+            assert!(range(true).contains(&position), "{position} outside {:?}", range(true));
         }
     }
 }
 
 #[test]
-fn verify_cache_knowledge_after_gaps_and_restarts() {
-    // Symptom: requests wait at an engine that lost the prefix long ago.
-    // Sequence: events are missed, or the engine starts anew, and evictions were among them.
-    // Cause: belief that outlives what it rests on.
+fn verify_cache_index_after_gaps_and_restarts() {
+    // Guards against requests that wait at an engine that evicted their prefix long ago. Events, including
+    // evictions, are missed, or the engine restarts. The fault comes about if cached state is retained after
+    // the events that it is based on are no longer valid.
     let event = |seq, block| CacheEvent { seq, change: CacheChange::Stored, block };
     let prefix = blocks(1);
     let first: Vec<_> = (1..=24).map(|seq| event(seq, prefix[seq as usize - 1])).collect();
-    // Each: the boot and number of the next event, and the blocks believed after it.
+    // Each case: the boot and number of the next event, and the blocks assumed to be cached after it.
     let cases = [(1, 25, 24), (1, 27, 24), (1, 2_000, 0), (2, 1, 0)];
 
-    for (boot, seq, believed) in cases {
+    for (boot, seq, expected_blocks) in cases {
         let index = PrefixIndex::new(1, 1_024);
         let mut follower = CacheFollower::new(CacheSlot(0));
         follower.apply(&CacheEventPage { boot: 1, events: first.clone() }, &index);
@@ -229,7 +233,7 @@
         follower.apply(&CacheEventPage { boot, events: next }, &index);
 
         let blocks = index.holders(&prefix).blocks_of(CacheSlot(0));
-        assert_eq!(blocks, believed, "boot {boot}, event {seq}");
+        assert_eq!(blocks, expected_blocks, "boot {boot}, event {seq}");
     }
 }
 
--- a/crates/anvilhook-core/tests/stops.rs
+++ b/crates/anvilhook-core/tests/stops.rs
@@ -1,44 +1,47 @@
-//! What an instance that stops takes on.
+//! Tests which requests an instance that is stopping accepts.
 
 use anvilhook_core::stops::{Acceptance, Stop};
 use anvilhook_core::units::Millis;
 
 const STOP: Stop = Stop { noticed_at: Millis(2_300), ends_at: Millis(7_100) };
 
-/// Streams were cut by the end of their instance because a prediction alone let them begin. Here a
-/// request of each length comes at each moment of a stop, expected to take what it takes, a third of
-/// that, or nothing known. Once the stop is noticed only the caller's own limit counts; before, what is
-/// expected rightly is never cut.
+/// Guards against streams that are truncated when their instance terminates because they were accepted on a
+/// prediction alone. Requests of each length arrive at each time of a stop. Their expected time is accurate, a
+/// third of the actual time, or unknown. Once load balancers have noticed the stop, only the caller's own limit
+/// counts. Before that, a request whose expected time is accurate is never truncated.
 #[test]
-fn verify_what_is_taken_on_ends_before_the_instance() {
+fn verify_accepted_requests_complete_before_the_instance_terminates() {
     let moments = (0..7_100).step_by(100).map(Millis);
     for now in moments {
-        for took in (100..9_000).step_by(300).map(Millis) {
+        for duration in (100..9_000).step_by(300).map(Millis) {
             for limit in [Millis(1_200), Millis(2_500), Millis(8_000)] {
-                let ends_at = now + took.min(limit);
-                for expected_ms in [Some(took.0 as f64), Some(took.0 as f64 / 3.0), None] {
-                    let taking = STOP.decide(now, now + limit, expected_ms);
+                let ends_at = now + duration.min(limit);
+                for expected_ms in [Some(duration.0 as f64), Some(duration.0 as f64 / 3.0), None] {
+                    let acceptance = STOP.decide(now, now + limit, expected_ms);
 
-                    let is_cut = taking != Acceptance::Refused && ends_at > STOP.ends_at;
-                    let is_right = expected_ms == Some(took.0 as f64);
-                    let case = format!("at {now:?}, {took:?} of {limit:?}, {expected_ms:?}");
-                    assert!(!is_cut || (now < STOP.noticed_at && !is_right), "{case}: {taking:?}");
+                    let is_truncated = acceptance != Acceptance::Refused && ends_at > STOP.ends_at;
+                    let is_accurate = expected_ms == Some(duration.0 as f64);
+                    let case = format!("at {now:?}, {duration:?} of {limit:?}, {expected_ms:?}");
+                    assert!(
+                        !is_truncated || (now < STOP.noticed_at && !is_accurate),
+                        "{case}: {acceptance:?}"
+                    );
                 }
             }
         }
     }
 }
 
-/// What is short is served to the last, though nothing is known of it: callers are not turned away
-/// without need.
+/// Guards against refusing callers without need. A request with a short limit is accepted for as long as it
+/// can be complete in time, even if its expected time is unknown.
 #[test]
-fn verify_what_its_caller_bounds_is_served_until_late() {
+fn verify_requests_with_a_caller_limit_are_accepted_until_late() {
     let limit = Millis(2_500);
-    let last = STOP.ends_at - limit;
+    let last_accepted = STOP.ends_at - limit;
     for (now, expected) in [
         (Millis::ZERO, Acceptance::Bounded),
-        (last, Acceptance::Bounded),
-        (last + Millis(1), Acceptance::Refused),
+        (last_accepted, Acceptance::Bounded),
+        (last_accepted + Millis(1), Acceptance::Refused),
     ] {
         assert_eq!(STOP.decide(now, now + limit, None), expected, "{now:?}");
     }
