--- a/crates/anvilhook-core/tests/authority_search/main.rs
+++ b/crates/anvilhook-core/tests/authority_search/main.rs
@@ -1,6 +1,6 @@
 //! Searches the state machine of leases and orders exhaustively, within bounds.
 //!
-//! The cases have two or three instances and engines that check fencing tokens or ignore them.
+//! The cases have two or three instances and engines that check fencing numbers or ignore them.
 //! Instances may pause at any step; answers may be lost, holders killed and engines crashed.
 
 mod steps;
--- a/crates/anvilhook-core/tests/authority_search/world.rs
+++ b/crates/anvilhook-core/tests/authority_search/world.rs
@@ -52,7 +52,7 @@
     pub applied_term: Term,
 }
 
-/// `ChecksFencing` stands in for `Fencing`, which can't be hashed. It is true for `Fencing::Checks`.
+/// `ChecksFencing` indicates whether an engine checks fencing numbers. It is true for `Fencing::Checks`.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct ChecksFencing(pub bool);
 
--- a/crates/anvilhook-core/tests/leases.rs
+++ b/crates/anvilhook-core/tests/leases.rs
@@ -30,11 +30,11 @@
     let mut watch = Watch::default();
     watch.observe(&row, 1, Millis::ZERO, options);
     let limit = 3 * options.length_ms.0;
-    let taken =
+    let first_take_over =
         (0..limit).find(|real| watch.observe(&row, 1, clock(*real, watcher_ppm), options)).unwrap();
     let last_order =
         (0..limit).rev().find(|real| own.may_order(clock(*real, holder_ppm), options)).unwrap();
-    (taken, last_order)
+    (first_take_over, last_order)
 }
 
 /// Guards against two instances that rely on their leases at the same time. The holder's clock is slow and
@@ -62,12 +62,13 @@
             ..LeaseOptions::default()
         };
 
-        let (taken, last_order) = first_take_over_and_last_order(&options, holder_ppm, watcher_ppm);
+        let (first_take_over, last_order) =
+            first_take_over_and_last_order(&options, holder_ppm, watcher_ppm);
 
         assert_eq!(
-            last_order < taken,
+            last_order < first_take_over,
             safe,
-            "{case}: taken at {taken}, last order at {last_order}"
+            "{case}: first take-over at {first_take_over}, last order at {last_order}"
         );
     }
 }
