--- a/crates/anvilhook-gateway/tests/duties.rs
+++ b/crates/anvilhook-gateway/tests/duties.rs
@@ -15,7 +15,9 @@
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::relay::Gateway;
 use support::clouds::MemoryCloud;
-use support::fronts::{ample_budget, gateway, route, start_by, unhurried, versioned};
+use support::fronts::{
+    ample_budget, gateway, route, start_with_clock, versioned, with_long_timeouts,
+};
 use support::tables::{Fault, MemoryTable};
 use support::upstreams::{Step, Upstream, refusal, signed};
 use support::wires::{TestWire, entry, limits};
@@ -48,7 +50,7 @@
 fn keyed(repeats: Repeats) -> Config {
     let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     accounts.try_add(kitchen(), ["good-key"]).expect("a good key");
-    unhurried(&versioned(1, repeats, 2, false)).with_accounts(accounts)
+    with_long_timeouts(&versioned(1, repeats, 2, false)).with_accounts(accounts)
 }
 
 fn kitchen() -> ClientAccount {
@@ -237,7 +239,7 @@
 /// A report is sent though nobody could write it, or a lease whose writing got no answer is used.
 #[tokio::test]
 async fn verify_nothing_is_sent_while_the_table_is_away() {
-    for fault in [Fault::Away, Fault::AnswersLost] {
+    for fault in [Fault::Unavailable, Fault::AnswersLost] {
         let site = site();
         let mut one = site.instance("one");
         site.enter_next_window(&one, Millis(2_500));
@@ -284,7 +286,7 @@
         let entries = entries.map(|(id, one)| entry(id, one.address.port()));
         let clock = ManualClock::new();
         let config = Some(keyed(Repeats::Idempotent));
-        let front = start_by(clock.clone(), config, entries.into(), ample_budget()).await;
+        let front = start_with_clock(clock.clone(), config, entries.into(), ample_budget()).await;
 
         front.post("r1", "Authorization: Bearer good-key\r\n", "").await;
         front.post("r2", "Authorization: Bearer bad-key\r\n", "").await;
--- a/crates/anvilhook-gateway/tests/followers.rs
+++ b/crates/anvilhook-gateway/tests/followers.rs
@@ -252,7 +252,7 @@
     let first_waits = || table.calls().0;
     until(|| !first_waits().is_empty()).await;
 
-    table.set_fault(Fault::Away);
+    table.set_fault(Fault::Unavailable);
     until(|| first_waits().len() >= 4).await;
     table.set_fault(Fault::None);
     table.put("configs", "current", Some("2"));
@@ -271,7 +271,7 @@
 async fn verify_changes_too_large_to_be_read_are_not_asked_for_again() {
     let (gateway, table) = following_config().await;
 
-    table.set_fault(Fault::Away);
+    table.set_fault(Fault::Unavailable);
     until(|| table.refused() > 0).await;
     table.put("configs", "current", Some("2"));
     table.set_fault(Fault::LargeChanges);
@@ -297,7 +297,7 @@
     table.put("upstreams", "a", Some("leaving 2"));
     until(|| !takes_work("a")).await;
     table.put("upstreams", "a", Some("ready 1"));
-    table.set_fault(Fault::Away);
+    table.set_fault(Fault::Unavailable);
     until(|| table.calls().0.ends_with(&[Millis::ZERO])).await;
     table.put("upstreams", "b", None);
     table.put("upstreams", "c", Some("ready 1"));
@@ -365,7 +365,7 @@
     tokio::spawn(follow(table.clone(), clock, Millis(600_000), follower));
     until(|| gateway.fleet().view().get("a").is_some()).await;
     until(|| !table.calls().0.is_empty()).await;
-    table.set_fault(Fault::Silent);
+    table.set_fault(Fault::NoResponse);
     table.put("upstreams", "a", Some("leaving 2"));
 
     gateway.peers().version_of(FollowedTable::Entries).record_announced(table.version());
--- a/crates/anvilhook-gateway/tests/keys.rs
+++ b/crates/anvilhook-gateway/tests/keys.rs
@@ -6,7 +6,7 @@
 
 use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 use anvilhook_gateway::configs::{Config, Repeats, Route};
-use support::fronts::{Front, ample_budget, request, route, start, unhurried, versioned};
+use support::fronts::{Front, ample_budget, request, route, start, versioned, with_long_timeouts};
 use support::upstreams::{Step, Upstream, signed};
 use support::wires::{entry, limits};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,7 +20,7 @@
     let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     let account = ClientAccount { name: Arc::from("kitchen"), priority: Some(0) };
     accounts.try_add(account, keys.iter().copied()).expect("good keys");
-    unhurried(&versioned(version, repeats, 2, false)).with_accounts(accounts)
+    with_long_timeouts(&versioned(version, repeats, 2, false)).with_accounts(accounts)
 }
 
 async fn front_of(config: Config, steps: Vec<Step>) -> (Front, Upstream) {
--- a/crates/anvilhook-gateway/tests/leaving.rs
+++ b/crates/anvilhook-gateway/tests/leaving.rs
@@ -12,7 +12,7 @@
 use anvilhook_gateway::peers::{Digest, Notice, NoticeKind, exchange};
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use support::fronts::{Front, ample_budget, config, start, start_by, unhurried};
+use support::fronts::{Front, ample_budget, config, start, start_with_clock, with_long_timeouts};
 use support::until;
 use support::upstreams::{Step, Upstream, engine, event, signed, stream, stream_end};
 use support::wires::entry;
@@ -31,7 +31,7 @@
 }
 
 async fn front_before(repeats: Repeats, has_engine: bool, entries: Vec<Entry>) -> Front {
-    start(Some(unhurried(&config(repeats, 2, has_engine))), entries, ample_budget()).await
+    start(Some(with_long_timeouts(&config(repeats, 2, has_engine))), entries, ample_budget()).await
 }
 
 fn takes_work(front: &Front, id: &str) -> bool {
@@ -130,7 +130,7 @@
     let clock = SystemClock::new();
     let config = config(Repeats::AtMostOnce, 1, false);
     let entries = vec![entry("a", upstream.address.port())];
-    let front = start_by(clock, Some(config), entries, ample_budget()).await;
+    let front = start_with_clock(clock, Some(config), entries, ample_budget()).await;
     let own = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     front.gateway.peers().add(other.local_addr().expect("an address"));
@@ -155,7 +155,7 @@
 async fn verify_leaving_is_believed_of_another_instance() {
     let clock = SystemClock::new();
     let config = config(Repeats::AtMostOnce, 1, false);
-    let front = start_by(clock, Some(config), vec![entry("b", 1)], ample_budget()).await;
+    let front = start_with_clock(clock, Some(config), vec![entry("b", 1)], ample_budget()).await;
     let own = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let address: SocketAddr = own.local_addr().expect("an address");
--- a/crates/anvilhook-gateway/tests/metrics.rs
+++ b/crates/anvilhook-gateway/tests/metrics.rs
@@ -55,7 +55,7 @@
 
     table.scan("upstreams").await.expect("it answers");
     table.changes("upstreams", 0, Millis::ZERO).await.expect("it answers");
-    inner.set_fault(Fault::Away);
+    inner.set_fault(Fault::Unavailable);
     let write = Write { key: "roles".to_owned(), expected: 0, value: "one".into() };
     table.write("leases", write).await.expect_err("it is away");
 
--- a/crates/anvilhook-gateway/tests/pauses.rs
+++ b/crates/anvilhook-gateway/tests/pauses.rs
@@ -7,7 +7,7 @@
 use anvilhook_gateway::configs::Repeats;
 use anvilhook_gateway::fleets::Entry;
 use anvilhook_gateway::peers::seed_caches;
-use support::fronts::{Front, ample_budget, config, start_by, unhurried};
+use support::fronts::{Front, ample_budget, config, start_with_clock, with_long_timeouts};
 use support::upstreams::{Step, Upstream, engine, refusal, signed, stream};
 use support::wires::entry;
 
@@ -28,8 +28,8 @@
     has_engine: bool,
     entries: Vec<Entry>,
 ) -> Front<ManualClock> {
-    let config = unhurried(&config(repeats, 2, has_engine));
-    start_by(clock.clone(), Some(config), entries, ample_budget()).await
+    let config = with_long_timeouts(&config(repeats, 2, has_engine));
+    start_with_clock(clock.clone(), Some(config), entries, ample_budget()).await
 }
 
 /// An upstream that sheds load asks for a pause, and gets each next request all the same.
@@ -138,7 +138,7 @@
         view.get("e").expect("listed").state.pause(Millis(60_000));
     };
 
-    let (answer, ()) = tokio::join!(front.post_unhurried("r1", PROMPT, ""), pausing);
+    let (answer, ()) = tokio::join!(front.post_with_long_deadline("r1", PROMPT, ""), pausing);
 
     assert_eq!(answer.events(), [1, 2]);
     assert_eq!(engines[0].received().len(), 1);
--- a/crates/anvilhook-gateway/tests/peers.rs
+++ b/crates/anvilhook-gateway/tests/peers.rs
@@ -348,7 +348,7 @@
     let address = |port| SocketAddr::from(([127, 0, 0, 1], port));
     table.put("anvilhook_instances", "a", Some("127.0.0.1:1"));
     table.put("anvilhook_instances", "b", Some("rubbish"));
-    table.set_fault(Fault::Away);
+    table.set_fault(Fault::Unavailable);
     let peers = Arc::new(Peers::default());
     let registering =
         tokio::spawn(register(table.clone(), "b".to_owned(), address(2), Arc::clone(&peers)));
--- a/crates/anvilhook-gateway/tests/plain.rs
+++ b/crates/anvilhook-gateway/tests/plain.rs
@@ -7,7 +7,7 @@
 use anvilhook_gateway::budgets::BudgetOptions;
 use anvilhook_gateway::configs::Repeats;
 use anvilhook_gateway::fleets::Entry;
-use support::fronts::{Front, ample_budget, config, start, start_by, unhurried};
+use support::fronts::{Front, ample_budget, config, start, start_with_clock, with_long_timeouts};
 use support::upstreams::{Step, Upstream, refusal, signed};
 use support::wires::entry;
 
@@ -146,10 +146,12 @@
     let well = Upstream::always(vec![signed("200 OK", "second")]).await;
     let far = Entry { zone: "zone-b".into(), ..entry("well", well.address.port()) };
     let entries = vec![entry("failing", failing.address.port()), far];
-    let config_of = |max_attempts| unhurried(&config(Repeats::Idempotent, max_attempts, false));
-    let front = start_by(ManualClock::new(), Some(config_of(2)), entries, ample_budget()).await;
+    let config_of =
+        |max_attempts| with_long_timeouts(&config(Repeats::Idempotent, max_attempts, false));
+    let front =
+        start_with_clock(ManualClock::new(), Some(config_of(2)), entries, ample_budget()).await;
     for at in 0..REQUESTS {
-        let answer = front.post_unhurried(&format!("r{at}"), "", "").await;
+        let answer = front.post_with_long_deadline(&format!("r{at}"), "", "").await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
     assert_eq!(failing.received().len(), 3);
@@ -157,9 +159,10 @@
 
     let alone = Upstream::always(vec![Step::Close]).await;
     let entries = vec![entry("alone", alone.address.port())];
-    let front = start_by(ManualClock::new(), Some(config_of(1)), entries, ample_budget()).await;
+    let front =
+        start_with_clock(ManualClock::new(), Some(config_of(1)), entries, ample_budget()).await;
     for at in 0..REQUESTS {
-        assert_eq!(front.post_unhurried(&format!("r{at}"), "", "").await.status, 502);
+        assert_eq!(front.post_with_long_deadline(&format!("r{at}"), "", "").await.status, 502);
     }
     assert_eq!(alone.received().len(), REQUESTS, "it may be well again");
 }
@@ -267,7 +270,7 @@
 
     drop(caller);
 
-    first.left().await;
+    first.client_closed().await;
     assert_eq!(first.received().len(), 1);
 }
 
--- a/crates/anvilhook-gateway/tests/roles.rs
+++ b/crates/anvilhook-gateway/tests/roles.rs
@@ -233,7 +233,7 @@
 /// own holder, too, waits for the lapse.
 #[tokio::test]
 async fn verify_no_order_goes_out_without_an_answered_lease() {
-    for fault in [Fault::Away, Fault::AnswersLost] {
+    for fault in [Fault::Unavailable, Fault::AnswersLost] {
         let engines = engines(4, "200 OK").await;
         let site = site(&engines);
         let mut keeper = site.keeper("one");
--- a/crates/anvilhook-gateway/tests/stops.rs
+++ b/crates/anvilhook-gateway/tests/stops.rs
@@ -15,7 +15,7 @@
 use http_body::Frame;
 use http_body_util::BodyExt;
 use support::clocks::TimerClock;
-use support::fronts::{Front, ample_budget, config, gateway, request, start_by};
+use support::fronts::{Front, ample_budget, config, gateway, request, start_with_clock};
 use support::upstreams::{
     Step, Upstream, chunk, engine, event, signed, stream, stream_end, stream_head,
 };
@@ -40,7 +40,8 @@
     has_engine: bool,
     entries: Vec<Entry>,
 ) -> Front<ManualClock> {
-    start_by(clock.clone(), Some(config(repeats, 2, has_engine)), entries, ample_budget()).await
+    start_with_clock(clock.clone(), Some(config(repeats, 2, has_engine)), entries, ample_budget())
+        .await
 }
 
 /// Has a gateway see outputs that took so long.
--- a/crates/anvilhook-gateway/tests/streams.rs
+++ b/crates/anvilhook-gateway/tests/streams.rs
@@ -15,7 +15,8 @@
 use futures_util::FutureExt;
 use support::clocks::TimerClock;
 use support::fronts::{
-    Front, ample_budget, config, impatient, start, start_by, unhurried, without_timeout,
+    Front, ample_budget, config, start, start_with_clock, with_long_timeouts, with_patience,
+    without_timeout,
 };
 use support::upstreams::{
     Received, Step, Upstream, chunk, engine, event, refusal, signed, stream, stream_end,
@@ -66,7 +67,7 @@
         let engines =
             vec![engine("r", &reader, Role::Prefill), engine("g", &generator, Role::Decode)];
         let (clock, config) = (ManualClock::new(), without_timeout(&config(RESUMABLE, 2, true)));
-        let front = start_by(clock.clone(), Some(config), engines, ample_budget()).await;
+        let front = start_with_clock(clock.clone(), Some(config), engines, ample_budget()).await;
         let busy = std::sync::Arc::clone(front.gateway.fleet().view().get("r").expect("listed"));
         let backlog = Held::with_work(busy, 500.0, 0.0);
         Self { clock, front, reader, generator, backlog }
@@ -142,10 +143,10 @@
         let other = Upstream::always(stream(1, 4)).await;
         let far = far_engine("other", &other, Role::Decode);
         let silent = Entry { born, ..engine("silent", &silent, Role::Decode) };
-        let config = unhurried(&config(RESUMABLE, 2, true));
+        let config = with_long_timeouts(&config(RESUMABLE, 2, true));
         let front = start(Some(config), vec![silent, far], ample_budget()).await;
 
-        let answer = front.post_unhurried("r1", PROMPT, "").await;
+        let answer = front.post_with_long_deadline("r1", PROMPT, "").await;
 
         assert_eq!(answer.events(), [1, 2, 3, 4], "{born:?} {report:?}");
         assert!(answer.is_complete(), "{born:?} {report:?}");
@@ -342,7 +343,7 @@
     }
     let clock = ManualClock::new();
     let config = Some(config(ONCE, 2, true));
-    let front = start_by(clock.clone(), config, engines, ample_budget()).await;
+    let front = start_with_clock(clock.clone(), config, engines, ample_budget()).await;
     front.gateway.caches().record(&"bad".into(), &[Part { id: 1, tokens: 200 }], 100_000);
     let bad_reads = || bad.received().iter().filter(|one| one.line.starts_with("POST")).count();
     let ask = async |round| {
@@ -481,7 +482,7 @@
 
     assert_eq!((answer.status, answer.events()), (200, vec![1]));
     assert!(!answer.is_complete());
-    silent.left().await;
+    silent.client_closed().await;
 }
 
 /// Symptom: streams are cut by a planned stop.
@@ -528,7 +529,7 @@
         drop(backlog);
     };
 
-    let (answer, ()) = tokio::join!(front.post_unhurried("r1", LONG, ""), stopping);
+    let (answer, ()) = tokio::join!(front.post_with_long_deadline("r1", LONG, ""), stopping);
 
     assert_eq!((answer.status, reader.received().len()), (503, 0), "{answer:?}");
     assert!(answer.head.contains("retry-after"), "{answer:?}");
@@ -544,7 +545,7 @@
         [("read", 1_100, 0), ("read", 900, 1), ("refused", 1_100, 0), ("refused", 900, 1)]
     {
         let clock = ManualClock::new();
-        let config = impatient(&config(ONCE, 2, true), Millis(1_000));
+        let config = with_patience(&config(ONCE, 2, true), Millis(1_000));
         let passing = clock.clone();
         let first = Upstream::start(move |_| {
             passing.advance(Millis(late_ms));
@@ -555,7 +556,7 @@
         let next = Upstream::always(stream(1, 2)).await;
         let role = if stage == "read" { Role::Prefill } else { Role::Decode };
         let engines = vec![engine("first", &first, role), far_engine("next", &next, Role::Decode)];
-        let front = start_by(clock, Some(config), engines, ample_budget()).await;
+        let front = start_with_clock(clock, Some(config), engines, ample_budget()).await;
 
         let answer = front.post("r1", PROMPT, "").await;
 
@@ -572,10 +573,10 @@
 async fn verify_a_long_prompt_waits_here_while_its_reader_reads() {
     let BusyReader { front, reader, generator: _generator, backlog, .. } =
         BusyReader::start().await;
-    let mut long = Box::pin(front.post_unhurried("long", LONG, ""));
+    let mut long = Box::pin(front.post_with_long_deadline("long", LONG, ""));
 
     let short = tokio::select! {
-        answer = front.post_unhurried("short", PROMPT, "") => answer,
+        answer = front.post_with_long_deadline("short", PROMPT, "") => answer,
         answer = &mut long => panic!("the long one came first: {answer:?}"),
     };
 
@@ -630,8 +631,8 @@
     let far = far_engine("other", &other, Role::Decode);
     let engines =
         vec![engine("r", &reader, Role::Prefill), engine("e", &lasting, Role::Decode), far];
-    let config = impatient(&config(RESUMABLE, 2, true), Millis(500));
-    let front = start_by(TimerClock::new(), Some(config), engines, ample_budget()).await;
+    let config = with_patience(&config(RESUMABLE, 2, true), Millis(500));
+    let front = start_with_clock(TimerClock::new(), Some(config), engines, ample_budget()).await;
 
     let answer = front.post("r1", PROMPT, "").await;
 
--- a/crates/anvilhook-gateway/tests/support/fronts.rs
+++ b/crates/anvilhook-gateway/tests/support/fronts.rs
@@ -94,11 +94,11 @@
 
 /// Starts a gateway with a configuration and upstreams.
 pub async fn start(config: Option<Config>, entries: Vec<Entry>, budget: BudgetOptions) -> Front {
-    start_by(SystemClock::new(), config, entries, budget).await
+    start_with_clock(SystemClock::new(), config, entries, budget).await
 }
 
 /// Starts a gateway on a clock of the test's own.
-pub async fn start_by<C: Clock>(
+pub async fn start_with_clock<C: Clock>(
     clock: C,
     config: Option<Config>,
     entries: Vec<Entry>,
@@ -133,7 +133,7 @@
 }
 
 /// Returns a newer configuration whose callers wait for so long for the next event.
-pub fn impatient(config: &Config, patience: Millis) -> Config {
+pub fn with_patience(config: &Config, patience: Millis) -> Config {
     let route = config.route("host.example", "/a/").expect("the route of the tests");
     let services = config.services().cloned().collect();
     let routes = vec![Route { patience, ..Route::clone(route) }];
@@ -149,7 +149,7 @@
 }
 
 /// Returns a newer configuration by which no request is late, however busy the machine is.
-pub fn unhurried(config: &Config) -> Config {
+pub fn with_long_timeouts(config: &Config) -> Config {
     const LONG: Millis = Millis(60_000);
     let route = config.route("host.example", "/a/").expect("the route of the tests");
     let services = config.services().cloned().collect();
@@ -194,7 +194,7 @@
     }
 
     /// Sends the same for a caller that waits for as long as the route allows.
-    pub async fn post_unhurried(&self, id: &str, headers: &str, body: &str) -> Answer {
+    pub async fn post_with_long_deadline(&self, id: &str, headers: &str, body: &str) -> Answer {
         let bytes = request(id, headers, body);
         self.raw(&bytes.replace("T-Deadline: 2000", "T-Deadline: 60000")).await
     }
--- a/crates/anvilhook-gateway/tests/support/tables.rs
+++ b/crates/anvilhook-gateway/tests/support/tables.rs
@@ -14,7 +14,7 @@
     #[default]
     None,
     /// Calls are refused.
-    Away,
+    Unavailable,
     /// The next changes are no longer kept.
     HistoryGone,
     /// Changes are too large to be read.
@@ -22,7 +22,7 @@
     /// Writes take effect, and their answers are lost.
     AnswersLost,
     /// Calls that wait for changes are never answered.
-    Silent,
+    NoResponse,
 }
 
 #[derive(Debug, Default)]
@@ -59,7 +59,7 @@
     /// Sets what is wrong.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().expect("no panic").fault = fault;
-        if fault != Fault::Silent {
+        if fault != Fault::NoResponse {
             self.changed.notify_waiters();
         }
     }
@@ -98,7 +98,7 @@
     fn check(&self) -> Result<(), TableError> {
         let mut state = self.state.lock().expect("no panic");
         match state.fault {
-            Fault::Away => {
+            Fault::Unavailable => {
                 state.refused += 1;
                 Err(TableError::Refused("away".to_owned()))
             }
@@ -106,7 +106,7 @@
                 state.fault = Fault::None;
                 Err(TableError::HistoryGone)
             }
-            Fault::None | Fault::AnswersLost | Fault::LargeChanges | Fault::Silent => Ok(()),
+            Fault::None | Fault::AnswersLost | Fault::LargeChanges | Fault::NoResponse => Ok(()),
         }
     }
 }
@@ -132,7 +132,7 @@
             let changed = self.changed.notified();
             let _ = tokio::time::timeout(wait.as_duration(), changed).await;
             self.check()?;
-            let is_silent = self.state.lock().expect("no panic").fault == Fault::Silent;
+            let is_silent = self.state.lock().expect("no panic").fault == Fault::NoResponse;
             if is_silent && wait > Millis::ZERO {
                 std::future::pending::<()>().await;
             }
--- a/crates/anvilhook-gateway/tests/support/upstreams.rs
+++ b/crates/anvilhook-gateway/tests/support/upstreams.rs
@@ -45,7 +45,7 @@
     /// Does nothing until it is notified.
     Await(Arc<Notify>),
     /// Ends the upstream: nothing listens any more, and all its connections are reset.
-    End,
+    Terminate,
     /// Does nothing until the other end closes the connection.
     Hang,
 }
@@ -86,7 +86,7 @@
     }
 
     /// Ends it: nothing listens any more, and all its connections are reset.
-    pub fn end(&self) {
+    pub fn terminate(&self) {
         self.ends.send_replace(true);
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Waits until the other end has left a connection that hangs.
-    pub async fn left(&self) {
+    pub async fn client_closed(&self) {
         self.left.notified().await;
     }
 }
@@ -153,7 +153,7 @@
                     reset_on_close(stream);
                     return;
                 }
-                Step::End => {
+                Step::Terminate => {
                     ends.send_replace(true);
                     std::future::pending::<()>().await;
                 }
--- a/crates/anvilhook-gateway/tests/suspects.rs
+++ b/crates/anvilhook-gateway/tests/suspects.rs
@@ -18,7 +18,7 @@
 use http_body_util::BodyExt;
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
-use support::fronts::{Front, ample_budget, config, start, start_by, unhurried};
+use support::fronts::{Front, ample_budget, config, start, start_with_clock, with_long_timeouts};
 use support::until;
 use support::upstreams::{Received, Step, Upstream, engine, event, signed, stream, stream_head};
 use support::wires::entry;
@@ -38,7 +38,7 @@
 /// An engine that ends when it begins to run the poison request, and streams to any other.
 async fn mortal() -> Upstream {
     Upstream::start(|received| match received.body.as_str() {
-        POISON => vec![stream_head(), event(1), Step::End],
+        POISON => vec![stream_head(), event(1), Step::Terminate],
         _ => stream(1, 3),
     })
     .await
@@ -58,7 +58,7 @@
 }
 
 async fn front(repeats: Repeats, entries: Vec<Entry>) -> Front {
-    let config = unhurried(&config(repeats, 2, true));
+    let config = with_long_timeouts(&config(repeats, 2, true));
     start(Some(config), entries, ample_budget()).await
 }
 
@@ -118,14 +118,14 @@
 async fn verify_plain_upstreams_that_end_count_too() {
     let mortal = || {
         Upstream::start(|received| match received.body.as_str() {
-            POISON => vec![Step::End],
+            POISON => vec![Step::Terminate],
             _ => vec![signed("200 OK", "fine")],
         })
     };
     let upstreams = [mortal().await, mortal().await, mortal().await, mortal().await];
     let ports = upstreams.iter().enumerate();
     let entries = ports.map(|(number, one)| entry(&format!("p{number}"), one.address.port()));
-    let config = unhurried(&config(Repeats::Idempotent, 2, false));
+    let config = with_long_timeouts(&config(Repeats::Idempotent, 2, false));
     let front = start(Some(config), entries.collect(), ample_budget()).await;
 
     for attempt in 0..6 {
@@ -142,10 +142,10 @@
 #[tokio::test]
 async fn verify_suspects_that_shared_all_ends_are_tried_in_turns() {
     let upstream = Upstream::always(vec![signed("500 Error", "why")]).await;
-    let config = unhurried(&config(Repeats::AtMostOnce, 2, false));
+    let config = with_long_timeouts(&config(Repeats::AtMostOnce, 2, false));
     let entries = vec![entry("u0", upstream.address.port())];
     let clock = ManualClock::new();
-    let front = start_by(clock.clone(), Some(config), entries, ample_budget()).await;
+    let front = start_with_clock(clock.clone(), Some(config), entries, ample_budget()).await;
     let (suspects, bodies) = (front.gateway.suspects(), ["one", "other"]);
     for engine in [901, 902] {
         for body in bodies {
@@ -176,7 +176,7 @@
 #[tokio::test]
 async fn verify_a_run_that_ends_well_clears_what_ran_beside() {
     let engines = [
-        Upstream::start(|_| vec![stream_head(), event(1), Step::End]).await,
+        Upstream::start(|_| vec![stream_head(), event(1), Step::Terminate]).await,
         Upstream::always(stream(1, 3)).await,
     ];
     let front = front(ONCE, listed(&engines)).await;
@@ -232,7 +232,7 @@
 #[tokio::test]
 async fn verify_the_end_of_a_leaving_engine_speaks_against_nobody() {
     let ends = Arc::new(Notify::new());
-    let steps = vec![stream_head(), event(1), Step::Await(Arc::clone(&ends)), Step::End];
+    let steps = vec![stream_head(), event(1), Step::Await(Arc::clone(&ends)), Step::Terminate];
     let engines = [Upstream::always(steps).await];
     let front = front(ONCE, listed(&engines)).await;
     let asking = async { front.post("r1", PROMPT, "beside").await };
@@ -265,8 +265,8 @@
     let (mut fronts, mut addresses) = (Vec::new(), Vec::new());
     for number in 1..=count {
         let clock = SystemClock::new();
-        let config = unhurried(&config(ONCE, 2, true));
-        let front = start_by(clock, Some(config), listed(engines), ample_budget()).await;
+        let config = with_long_timeouts(&config(ONCE, 2, true));
+        let front = start_with_clock(clock, Some(config), listed(engines), ample_budget()).await;
         addresses.push(link(&front, clock, number, &addresses).await);
         fronts.push(front);
     }
@@ -301,7 +301,9 @@
     }
 
     let clock = SystemClock::new();
-    let new = start_by(clock, Some(config(ONCE, 2, true)), listed(&engines), ample_budget()).await;
+    let new =
+        start_with_clock(clock, Some(config(ONCE, 2, true)), listed(&engines), ample_budget())
+            .await;
     link(&new, clock, 9, &addresses).await;
 
     until(|| standing(&new, POISON) == Some(3)).await;
@@ -360,12 +362,12 @@
 #[tokio::test]
 async fn verify_an_error_is_no_run_that_ended_well() {
     let upstreams = [
-        Upstream::start(|_| vec![Step::End]).await,
+        Upstream::start(|_| vec![Step::Terminate]).await,
         Upstream::always(vec![signed("500 Error", "")]).await,
     ];
     let ports = upstreams.iter().enumerate();
     let entries = ports.map(|(number, one)| entry(&format!("p{number}"), one.address.port()));
-    let config = unhurried(&config(Repeats::AtMostOnce, 1, false));
+    let config = with_long_timeouts(&config(Repeats::AtMostOnce, 1, false));
     let front = start(Some(config), entries.collect(), ample_budget()).await;
     front.gateway.fleet().view().get("p1").expect("listed").state.mark_closed(Millis::MAX, false);
     front.post("r1", "", POISON).await;
@@ -447,11 +449,11 @@
 /// A long stream that many callers ask for is refused, as engines end under it whatever ends them.
 #[tokio::test]
 async fn verify_a_stream_that_has_lasted_is_beyond_suspicion() {
-    let steps = [stream_head(), event(1), Step::Pause(2_100), event(2), event(3), Step::End];
+    let steps = [stream_head(), event(1), Step::Pause(2_100), event(2), event(3), Step::Terminate];
     let engines = [Upstream::always(steps.to_vec()).await];
     let front = front(ONCE, listed(&engines)).await;
 
-    let answer = front.post_unhurried("r1", PROMPT, "long").await;
+    let answer = front.post_with_long_deadline("r1", PROMPT, "long").await;
     tokio::time::sleep(LOOK).await;
 
     assert!(!answer.is_complete());
--- a/crates/anvilhook-gateway/tests/watches.rs
+++ b/crates/anvilhook-gateway/tests/watches.rs
@@ -268,7 +268,7 @@
     zone.table.put("upstreams", "b", Some("ready 1"));
     zone.until_all(|one| one.lists("b")).await;
 
-    zone.table.set_fault(Fault::Away);
+    zone.table.set_fault(Fault::Unavailable);
     until(|| zone.instances.iter().any(|one| one.is_unable(FollowedTable::Entries))).await;
     zone.table.put("upstreams", "a", None);
     zone.table.put("upstreams", "c", Some("ready 1"));
@@ -287,7 +287,7 @@
 async fn verify_few_instances_ask_a_table_that_is_away() {
     let zone = Zone::start().await;
 
-    zone.table.set_fault(Fault::Away);
+    zone.table.set_fault(Fault::Unavailable);
     tokio::time::sleep(Duration::from_millis(1_500)).await;
     let refused = zone.table.refused();
     zone.table.set_fault(Fault::None);
