--- a/crates/anvilhook-gateway/tests/cache_updates.rs
+++ b/crates/anvilhook-gateway/tests/cache_updates.rs
@@ -1,4 +1,4 @@
-//! Which of the prompts that engines have read are forwarded, and when.
+//! Which updates about prompts that engines have read are published, and when.
 
 use anvilhook_core::units::Millis;
 use anvilhook_gateway::peers::{CacheUpdates, CachedPrompt};
@@ -13,9 +13,9 @@
     digests.iter().flatten().map(|cached| cached.own_tokens).sum()
 }
 
-/// Symptom: instances of other availability zones assume that engines have parts they have dropped.
+/// Symptom: instances of other availability zones assume that engines still have evicted parts.
 /// Sequence: an engine reads prompts that all begin with a part that was just published.
-/// Cause: the other tokens of these prompts displace parts, and must be published too, if later.
+/// Cause: the other tokens of these prompts evict parts, so they must be published too, if later.
 #[test]
 fn verify_no_tokens_are_lost_where_a_part_is_not_resent() {
     let mut updates = CacheUpdates::default();
@@ -31,9 +31,9 @@
     assert!(updates.take(4, NOW + Millis(2_000)).is_empty());
 }
 
-/// Symptom: other availability zones assume that an engine has dropped a part that it uses
+/// Symptom: other availability zones assume that an engine has evicted a part that it uses
 /// constantly.
-/// Sequence: the part is read before and after the interval in which it is not resent.
+/// Sequence: prompts with the part are read within the resend interval and after it.
 /// Cause: the sender must resend parts periodically, also because datagrams get lost.
 #[test]
 fn verify_a_part_is_resent_after_a_while() {
@@ -51,7 +51,7 @@
 /// Symptom: digests exceed the size that a link carries in one packet, and none of them arrives.
 /// Sequence: after the loss of all instances, many parts of one engine and one part of each of many
 /// engines are published.
-/// Cause: what does not fit must wait for the next digests, and all of it must be sent in the end.
+/// Cause: updates that do not fit must wait for the next digests, and all must be sent in the end.
 #[test]
 fn verify_many_updates_are_sent_in_small_digests() {
     let mut updates = CacheUpdates::default();
--- a/crates/anvilhook-gateway/tests/decisions.rs
+++ b/crates/anvilhook-gateway/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! The decisions without I/O: routes, budgets, caches, placement, events, digests.
+//! Decisions that need no I/O: routes, budgets, caches, placement, events and digests.
 
 mod support;
 
@@ -57,12 +57,12 @@
     assert_eq!(split.target(5), None);
 }
 
-/// Symptom: an engine that has started again is believed to hold prompts, to be slow, ejected or
-/// busy, as the start before it was.
-/// Sequence: an engine fails, works and caches; it starts again under the id that it had.
-/// Cause: what was learnt of an earlier start says nothing of the later one.
+/// Symptom: a restarted engine is assumed to cache prompts, or to be slow, ejected or busy, as it was
+/// before the restart.
+/// Sequence: an engine caches prompts, works and fails; then it restarts under the same id.
+/// Cause: observations from before a restart do not apply after it.
 #[tokio::test]
-async fn verify_nothing_is_believed_of_an_engine_that_has_started_again() {
+async fn verify_a_restarted_engine_inherits_no_state() {
     let of = |born| Entry { born: Some(born), role: Some(Role::Prefill), ..entry("e", 1) };
     let listed = vec![of(1), entry("other", 2)];
     let gateway = gateway(ManualClock::new(), None, listed, ample_budget());
@@ -82,14 +82,17 @@
     assert_eq!((after.state.slowness(), after.state.own_work()), (1.0, Work::default()));
     assert_eq!(gateway.caches().held_tokens("e", &prompt(10_000, 2)), 0);
     assert_eq!(gateway.caches().held_tokens("other", &prompt(10_000, 2)), 13_000);
-    assert!(gateway.fleet().view().by_digest(before.digest).is_none(), "peers' old words");
+    assert!(
+        gateway.fleet().view().by_digest(before.digest).is_none(),
+        "updates of peers from before the restart"
+    );
     drop(in_flight);
     assert_eq!(after.state.own_work(), Work::default());
 }
 
-/// Symptom: retries of all instances together exceed their bound in some span.
-/// Sequence: requests come in a burst, and retries long after.
-/// Cause: what the requests earned must leave the window with them.
+/// Symptom: the retries of all instances together exceed their bound in some span.
+/// Sequence: requests arrive in a burst, and retries follow much later.
+/// Cause: the budget that requests earn must leave the window with them.
 #[test]
 fn verify_the_budget_slides() {
     let service: Arc<str> = Arc::from("service");
@@ -102,16 +105,16 @@
 
     assert_eq!(taken(500), 3);
     assert_eq!(taken(900), 0);
-    assert_eq!(taken(1_400), 0, "the requests have left the window, the retries have not");
+    assert_eq!(taken(1_400), 0, "the requests have left the window, but the retries have not");
     assert_eq!(taken(1_600), 1);
 }
 
-/// Symptom: retries exceed their bound, though the budget holds in each span of its own.
-/// Sequence: requests come in two bursts, 5.5 s apart, and retries right after the second.
-/// Cause: whoever checks the retries of a span counts the requests of that span, of the one before,
-/// or of the one half a span before; a span that holds both bursts need not be among them.
+/// Symptom: retries exceed their bound, although the budget holds in each of its own spans.
+/// Sequence: requests arrive in two bursts, 5.5 s apart, and retries right after the second.
+/// Cause: a check of the retries in a span counts the requests of that span, of the one before, or of
+/// the one half a span before. None of these need contain both bursts.
 #[test]
-fn verify_the_budget_holds_in_spans_that_are_not_its_own() {
+fn verify_the_budget_holds_in_spans_of_any_alignment() {
     const SHARE: f64 = 0.2;
     let service: Arc<str> = Arc::from("service");
     let budget = Budget::new(BudgetOptions::within(SHARE, 0.0, Millis(10_000)));
@@ -147,28 +150,27 @@
     Prompt { parts, tokens: shared + 3_000, max_output: 10 }
 }
 
-/// Symptom: after one request, all others of an instance end with panics.
-/// Sequence: a caller names parts that an engine holds, and lengths for them at the end of what can be
-/// written.
-/// Cause: their sum overflowed under the lock of all beliefs about caches, where overflow is checked.
+/// Symptom: after one request, all later requests of an instance panic.
+/// Sequence: a caller names parts that an engine has cached, with the largest lengths of the type.
+/// Cause: with overflow checks, their sum panicked while the lock of the cache index was held.
 #[test]
 fn verify_parts_of_any_length_are_summed() {
     let caches = CacheIndex::new();
     caches.record(&Arc::from("e"), &prompt(10_000, 2).parts, 20_000);
-    let mut wild = prompt(10_000, 2);
-    wild.parts.iter_mut().for_each(|part| part.tokens = u32::MAX);
-    assert!(wild.parts.len() > 1);
+    let mut huge = prompt(10_000, 2);
+    huge.parts.iter_mut().for_each(|part| part.tokens = u32::MAX);
+    assert!(huge.parts.len() > 1);
 
-    assert_eq!(caches.held_tokens("e", &wild), u32::MAX);
+    assert_eq!(caches.held_tokens("e", &huge), u32::MAX);
 
     assert_eq!(caches.held_tokens("e", &prompt(10_000, 2)), 13_000);
 }
 
 /// Symptom: an instance's memory grows with each request of one caller.
-/// Sequence: the caller names ever new parts without any length.
-/// Cause: parts were forgotten by the room that they take, and these take none.
+/// Sequence: each request of the caller names new parts with a length of zero.
+/// Cause: parts were evicted by their length, so these never were.
 #[test]
-fn verify_parts_without_a_length_take_no_room() {
+fn verify_parts_without_a_length_use_no_memory() {
     let caches = CacheIndex::new();
     let engine: Arc<str> = Arc::from("e");
     let part = |id, tokens| Part { id, tokens };
@@ -181,11 +183,11 @@
     assert_eq!(shared.iter().map(|(_, parts)| parts.len()).sum::<usize>(), 1);
     let parts = vec![part(3, 0), part(7_000, 400), part(4, 0)];
     let prompt = Prompt { parts, tokens: 400, max_output: 1 };
-    assert_eq!(caches.held_tokens("e", &prompt), 400, "such a part has not to be read");
+    assert_eq!(caches.held_tokens("e", &prompt), 400, "a part without a length needs no prefill");
 }
 
 #[test]
-fn verify_caches_forget_what_was_used_longest_ago() {
+fn verify_caches_evict_the_least_recently_used_parts() {
     let caches = CacheIndex::new();
     let engine: Arc<str> = Arc::from("e");
     caches.record(&engine, &prompt(10_000, 2).parts, 20_000);
@@ -194,7 +196,7 @@
 
     caches.record(&engine, &[Part { id: 9, tokens: 4_000 }], 20_000);
 
-    assert_eq!(caches.held_tokens("e", &prompt(10_000, 2)), 0, "the first part has gone");
+    assert_eq!(caches.held_tokens("e", &prompt(10_000, 2)), 0, "the first part has been evicted");
     caches.retain(|engine| engine != "e");
     assert_eq!(caches.held_tokens("e", &prompt(10_000, 2)), 0);
 }
@@ -271,12 +273,12 @@
     ("d1", Role::Decode, "zone-a"),
 ];
 
-/// Symptom: prompts take three times as long to be read as predicted, at engines that were told idle.
-/// Sequence: all readers of a zone have something to read; one of another zone was idle when its load
-/// was told, a tenth of a second ago. Instances of all zones send their prompts there.
-/// Cause: the busier the own zone, the less an old word of idleness in another is worth.
+/// Symptom: prefill takes three times as long as predicted at engines that were reported as idle.
+/// Sequence: all readers of a zone are busy. One of another zone was idle when its load was published,
+/// 100 ms ago, and instances of all zones send their prompts to it.
+/// Cause: the busier the own zone is, the less a stale idle report of another zone must count.
 #[test]
-fn verify_old_news_of_an_idle_engine_are_doubted_where_all_are_busy() {
+fn verify_stale_idle_reports_are_discounted_in_a_busy_zone() {
     let (fleet, caches) = (fleet(&SITE), CacheIndex::new());
     let long = prompt(3_000, 1);
     let hold =
@@ -284,7 +286,7 @@
     let of =
         |far_update_delay_ms| reader_of(plan_by(far_update_delay_ms, &fleet, &caches, &long, &[]));
     let _first = hold("p1", 60.0);
-    assert_ne!(of(120.0), "p3", "another one of the zone is idle");
+    assert_ne!(of(120.0), "p3", "another reader of the own zone is idle");
 
     let _second = hold("p2", 60.0);
 
@@ -294,12 +296,12 @@
     assert_eq!(of(120.0), "p3", "the own zone is full");
 }
 
-/// Symptom: streams of all zones wait at one engine whose last places were free a moment ago.
-/// Sequence: the generators of a zone are a little over their places; one of another zone was told to
-/// have two free.
-/// Cause: by the time that the word came, the places were gone.
+/// Symptom: streams of all zones wait at one engine whose last slots were free a moment ago.
+/// Sequence: the generator of a zone is slightly over its slots; one of another zone was reported to
+/// have two free slots.
+/// Cause: these slots were taken before the report arrived.
 #[test]
-fn verify_the_last_free_places_of_another_zone_are_doubted() {
+fn verify_the_last_free_slots_of_another_zone_are_discounted() {
     let fleet = fleet(&[
         ("p1", Role::Prefill, "zone-a"),
         ("near", Role::Decode, "zone-a"),
@@ -338,9 +340,10 @@
     assert_eq!(chosen(120.0), "near");
 }
 
-/// Suspects are all tried at the same engine, and end together with the one that ends engines.
+/// Guards against trials of all suspects at the same engine, where innocent ones fail together with
+/// the one that terminates engines.
 #[test]
-fn verify_suspects_are_tried_apart_and_beside_few_others() {
+fn verify_suspects_are_spread_over_lightly_loaded_engines() {
     let fleet = fleet(&[
         ("full", Role::Decode, "zone-a"),
         ("d1", Role::Decode, "zone-a"),
@@ -388,23 +391,23 @@
 
     let Some(Plan::Split(reader)) = plan(&fleet, &caches, &long, &[]) else { panic!("no split") };
     assert_eq!(&*reader.upstream.entry.id, "p1");
-    let source = reader.fetch_from.expect("the part is fetched, not read again");
+    let source = reader.fetch_from.expect("the part is fetched, not computed again");
     assert_eq!(&*source.entry.id, "p2");
 }
 
 #[test]
-fn verify_a_prompt_that_nobody_holds_has_one_home() {
+fn verify_an_uncached_prompt_has_one_preferred_engine() {
     let (fleet, caches) = (fleet(&SITE[..2]), CacheIndex::new());
-    let homes: Vec<_> = (0..5)
+    let preferred: Vec<_> = (0..5)
         .map(|own| reader_of(plan(&fleet, &caches, &prompt(13_300, own + 10), &[])))
         .collect();
 
-    assert!(homes.iter().all(|home| *home == homes[0]), "{homes:?}");
+    assert!(preferred.iter().all(|id| *id == preferred[0]), "{preferred:?}");
 }
 
-/// Symptom: engines that take both stages refuse every request.
-/// Sequence: a service's engines all do; the caches make one of them the best.
-/// Cause: such an engine is asked for the whole request, never for one stage.
+/// Symptom: engines that run both stages refuse every request.
+/// Sequence: all engines of a service run both stages; the cache index prefers one of them.
+/// Cause: such an engine must get the whole request, never a single stage.
 #[test]
 fn verify_engines_of_both_stages_serve_requests_whole() {
     let caches = CacheIndex::new();
@@ -415,9 +418,9 @@
     assert_eq!(reader_of(plan(&fleet(&engines), &caches, &long, &[])), "direct m2");
 }
 
-/// Symptom: requests are refused though an engine could serve them.
-/// Sequence: engines of one stage are gone, avoided, or all ejected.
-/// Cause: a generator can read, too; and ejection must not empty a stage.
+/// Symptom: requests are refused although an engine could serve them.
+/// Sequence: the engines of one stage have terminated, are avoided, or are all ejected.
+/// Cause: a generator can also read prompts, and ejection must leave engines in each stage.
 #[test]
 fn verify_placement_with_engines_missing() {
     let caches = CacheIndex::new();
@@ -447,7 +450,7 @@
     let work = Work { in_flight: 3, reading_ms: 50.0, fetching_ms: 4.0 };
     state.record_peer(7, PeerLoad { work, at: Millis(100), is_far: false });
 
-    // The engine goes on reading while nothing is heard.
+    // The engine continues its work while no update is received.
     for (now, reading_ms) in [(100, 50.0), (130, 20.0), (200, 0.0)] {
         let work = state.work(Millis(now));
         assert_eq!((work.in_flight, work.reading_ms, work.fetching_ms), (3, reading_ms, 4.0));
@@ -456,10 +459,10 @@
 }
 
 /// Symptom: an instance's memory grows for as long as it runs.
-/// Sequence: peers come and go, each under a number that no other had; one has ended its work.
-/// Cause: who was not heard for a while, or has nothing in flight, must take no room.
+/// Sequence: peers come and go, each with a new number; later peers report that they have no work.
+/// Cause: peers that sent nothing recently, or that have nothing in flight, must use no memory.
 #[test]
-fn verify_peers_that_are_gone_take_no_room() {
+fn verify_departed_peers_use_no_memory() {
     let fleet = fleet(&SITE);
     let state = Arc::clone(&fleet.view().get("p1").unwrap().state);
     let busy = Work { in_flight: 1, ..Work::default() };
@@ -494,7 +497,7 @@
 }
 
 #[test]
-fn verify_events_are_cut_out_of_any_pieces() {
+fn verify_events_are_split_from_pieces_of_any_size() {
     let bytes = b"id: 1\ndata: a\n\nevent: x\r\nid: 22\r\ndata: b\r\n\r\ndata: no id\n\nid: 3\nda";
     for size in 1..bytes.len() {
         let mut splitter = EventSplitter::new();
@@ -511,7 +514,7 @@
 }
 
 #[test]
-fn verify_a_digest_is_small_and_comes_back_as_it_was() {
+fn verify_a_digest_is_small_and_survives_a_round_trip() {
     let load = EngineLoad { engine: u32::MAX, in_flight: 7, reading_ms: 129, fetching_ms: 20 };
     let cached =
         CachedPrompt { engine: 5, parts: vec![(u64::MAX, 13_300), (3, 3_720)], own_tokens: 700 };
--- a/crates/anvilhook-gateway/tests/duties.rs
+++ b/crates/anvilhook-gateway/tests/duties.rs
@@ -16,7 +16,7 @@
 use anvilhook_gateway::relay::Gateway;
 use support::clouds::MemoryCloud;
 use support::fronts::{
-    ample_budget, gateway, route, start_with_clock, versioned, with_long_timeouts,
+    ample_budget, config_of_version, gateway, route, start_with_clock, with_long_timeouts,
 };
 use support::tables::{Fault, MemoryTable};
 use support::upstreams::{Step, Upstream, refusal, signed};
@@ -50,7 +50,7 @@
 fn keyed(repeats: Repeats) -> Config {
     let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     accounts.try_add(kitchen(), ["good-key"]).expect("a good key");
-    with_long_timeouts(&versioned(1, repeats, 2, false)).with_accounts(accounts)
+    with_long_timeouts(&config_of_version(1, repeats, 2, false)).with_accounts(accounts)
 }
 
 fn kitchen() -> ClientAccount {
@@ -135,7 +135,7 @@
     let began_at = site.clock.now();
     let window = site.enter_next_window(&one, Millis(3_000));
 
-    site.cloud.answer(&[CloudAnswer::Busy, CloudAnswer::NoAnswer]);
+    site.cloud.set_answers(&[CloudAnswer::Busy, CloudAnswer::NoAnswer]);
     one.keeper.run_once().await;
     one.gateway.usage().count(OWN, &kitchen(), began_at);
     one.look_on(&site.clock).await;
@@ -157,7 +157,7 @@
     two.count(5, &site.clock);
     let window = site.enter_next_window(&one, Millis(2_500));
 
-    site.cloud.answer(&[CloudAnswer::NoAnswer]);
+    site.cloud.set_answers(&[CloudAnswer::NoAnswer]);
     one.keeper.run_once().await;
     two.look_on(&site.clock).await;
 
@@ -227,7 +227,7 @@
     let site = site();
     let mut one = site.instance("one");
     site.enter_next_window(&one, Millis(2_500));
-    site.cloud.answer(&[CloudAnswer::Conflict]);
+    site.cloud.set_answers(&[CloudAnswer::Conflict]);
 
     one.keeper.run_once().await;
     site.clock.advance(LEASE);
@@ -314,7 +314,7 @@
 impl Site {
     /// Returns an instance that knows engines in two zones and may order others.
     fn sizing(&self, name: &str, entries: Vec<Entry>) -> TestInstance {
-        let config = versioned(1, Repeats::Idempotent, 2, true);
+        let config = config_of_version(1, Repeats::Idempotent, 2, true);
         let service = config.services().next().expect("the service of the tests").clone();
         let boot = Millis(4_000);
         let scaling = ScalingSpec { min: 1, max: 9, boot, reclaimable_price: Some(0.2) };
--- a/crates/anvilhook-gateway/tests/followers.rs
+++ b/crates/anvilhook-gateway/tests/followers.rs
@@ -13,7 +13,7 @@
 use anvilhook_gateway::peers::{FollowedTable, TableVersion};
 use anvilhook_gateway::tables::Row;
 use futures_util::FutureExt;
-use support::fronts::{TestGateway, ample_budget, start, versioned};
+use support::fronts::{TestGateway, ample_budget, config_of_version, start};
 use support::tables::{Fault, MemoryTable};
 use support::until;
 use support::wires::entry;
@@ -239,7 +239,7 @@
 
     until(|| version() == 8).await;
     assert!(table.calls().1 >= 2, "the table was read anew");
-    gateway.adopt_config(versioned(6, Repeats::Idempotent, 1, false));
+    gateway.adopt_config(config_of_version(6, Repeats::Idempotent, 1, false));
     assert_eq!(version(), 8);
 }
 
--- a/crates/anvilhook-gateway/tests/instance_stops.rs
+++ b/crates/anvilhook-gateway/tests/instance_stops.rs
@@ -1,4 +1,4 @@
-//! The course of an instance's stop, on a clock that goes with the runtime's paused timers.
+//! The course of an instance's stop, on a clock that follows the runtime's paused timers.
 
 mod support;
 
@@ -21,13 +21,13 @@
 use volo_http::body::Body;
 use volo_http::request::Request;
 
-/// The time from the signal to an instance's end in the tests.
-const TIME: Millis = Millis(7_100);
+/// The time that a stopping instance has for its requests in the tests.
+const STOP_TIME: Millis = Millis(7_100);
 
-/// A moment of the time for the last bytes, which follows.
+/// A part of the time to send the last bytes, which follows `STOP_TIME`.
 const LAST_BYTES: Millis = Millis(100);
 
-/// How long callers wait.
+/// The usual wait limit of callers, and a long one.
 const LIMIT: Millis = Millis(2_000);
 const LONG: Millis = Millis(60_000);
 
@@ -41,10 +41,10 @@
     gateway(clock, Some(config), entries, ample_budget())
 }
 
-/// Begins a stop that ends in `TIME`.
+/// Begins a stop that leaves `STOP_TIME` for requests.
 fn begin(gateway: &StopGateway, clock: TimerClock) -> JoinHandle<()> {
     let gateway = gateway.clone();
-    let latest = clock.now() + TIME;
+    let latest = clock.now() + STOP_TIME;
     tokio::spawn(async move { stop(&gateway, &Shutdown::new(), &clock, latest).await })
 }
 
@@ -54,24 +54,24 @@
 }
 
 /// Returns a request whose caller never sends the body.
-fn endless() -> Request {
+fn request_without_end() -> Request {
     received(LONG, Body::from_stream(stream::pending::<Result<Frame<Bytes>, _>>()))
 }
 
-/// Hands a gateway a request. Returns the status and the text of the answer.
+/// Has a gateway handle a request, and returns the status and the body of the answer.
 async fn ask(gateway: &StopGateway, req: Request) -> (StatusCode, Bytes) {
     let answer = gateway.handle(req).await;
     let status = answer.status();
-    let body = answer.into_body().collect().await.expect("it is whole");
+    let body = answer.into_body().collect().await.expect("the body is complete");
     (status, body.to_bytes())
 }
 
-/// Requests came on open connections until the process was gone. As long as load balancers don't know of
-/// the stop, those that are expected to end in time are taken, then those that their callers' limit ends
-/// in time, and none in the last part, which is for what has begun. Here no upstream is known, and what is
-/// taken is refused for that reason.
+/// Requests arrived on open connections until the process had ended. Until load balancers notice the stop,
+/// a stopping instance accepts requests that are expected to complete in time. Then it accepts those whose
+/// caller's limit ends in time. In the last part it accepts none, and only completes requests that have
+/// begun. No upstream is known here, so accepted requests are refused with that cause.
 #[tokio::test(start_paused = true)]
-async fn verify_what_a_stop_takes_on_from_the_signal_to_the_end() {
+async fn verify_which_requests_a_stopping_instance_accepts() {
     let moments = [
         (Millis(2_200), LONG, "no_upstream"),
         (Millis(2_400), LONG, "stopping"),
@@ -82,7 +82,7 @@
     let clock = TimerClock::new();
     let gateway = gateway_of(clock, Vec::new());
     let waiting = gateway.clone();
-    let waiting = tokio::spawn(async move { ask(&waiting, endless()).await });
+    let waiting = tokio::spawn(async move { ask(&waiting, request_without_end()).await });
     let stopping = begin(&gateway, clock);
     let refused = |cause: &'static str| (StatusCode::SERVICE_UNAVAILABLE, Bytes::from(cause));
 
@@ -93,16 +93,16 @@
         assert_eq!(answer, refused(cause), "{at:?} {limit:?}");
         assert!(!gateway.is_ready(), "{at:?}");
     }
-    tokio::time::sleep((TIME - LAST_BYTES - clock.now()).as_duration()).await;
-    assert!(!waiting.is_finished(), "what has begun has all the time");
+    tokio::time::sleep((STOP_TIME - LAST_BYTES - clock.now()).as_duration()).await;
+    assert!(!waiting.is_finished(), "a request that has begun may use all the time");
     stopping.await.expect("no panic");
     assert_eq!(waiting.await.expect("no panic"), refused("stopping"));
 }
 
-/// An instance that had nothing in flight when it took no connections any more refused those who still had
-/// one, in the moment before it ended. They are served, and it ends once nobody has come for a while.
+/// An instance with nothing in flight refused requests on open connections between the close of its
+/// listener and its end. It must serve them, and end once no request has arrived for a while.
 #[tokio::test(start_paused = true)]
-async fn verify_an_idle_instance_serves_the_last_on_its_connections() {
+async fn verify_an_idle_instance_serves_last_requests_on_open_connections() {
     let clock = TimerClock::new();
     let gateway = gateway_of(clock, Vec::new());
     let stopping = begin(&gateway, clock);
@@ -112,22 +112,22 @@
     stopping.await.expect("no panic");
 
     assert_eq!(cause, "no_upstream");
-    assert!(clock.now() < Millis(3_000), "it ends when nothing comes: {:?}", clock.now());
+    assert!(clock.now() < Millis(3_000), "it ends when no requests arrive: {:?}", clock.now());
 }
 
-/// What callers were told at the end of an instance, and the last bytes of answers, were cut by the end of
-/// the process if they had not left it at once. The instance waits for them a moment longer.
+/// The end of the process truncated the last bytes of answers that were not sent at once, also of those
+/// that a stop gives to its last callers. The instance must wait a moment longer for them.
 #[tokio::test]
 async fn verify_a_stop_waits_for_the_last_bytes() {
     let clock = TimerClock::new();
     let upstream = Upstream::always(vec![signed("200 OK", "ok")]).await;
     let gateway = gateway_of(clock, vec![entry("u", upstream.address.port())]);
     let (status, unwritten) = ask(&gateway, received(LIMIT, Body::empty())).await;
-    // No more sockets from here on.
+    // The timers can be paused from here on, as no sockets are used.
     tokio::time::pause();
     let stopping = begin(&gateway, clock);
 
-    tokio::time::sleep((TIME + LAST_BYTES).as_duration()).await;
+    tokio::time::sleep((STOP_TIME + LAST_BYTES).as_duration()).await;
     let has_waited = !stopping.is_finished();
     drop(unwritten);
     stopping.await.expect("no panic");
--- a/crates/anvilhook-gateway/tests/keys.rs
+++ b/crates/anvilhook-gateway/tests/keys.rs
@@ -6,7 +6,9 @@
 
 use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 use anvilhook_gateway::configs::{Config, Repeats, Route};
-use support::fronts::{Front, ample_budget, request, route, start, versioned, with_long_timeouts};
+use support::fronts::{
+    Front, ample_budget, config_of_version, request, route, start, with_long_timeouts,
+};
 use support::upstreams::{Step, Upstream, signed};
 use support::wires::{entry, limits};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -20,7 +22,7 @@
     let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     let account = ClientAccount { name: Arc::from("kitchen"), priority: Some(0) };
     accounts.try_add(account, keys.iter().copied()).expect("good keys");
-    with_long_timeouts(&versioned(version, repeats, 2, false)).with_accounts(accounts)
+    with_long_timeouts(&config_of_version(version, repeats, 2, false)).with_accounts(accounts)
 }
 
 async fn front_of(config: Config, steps: Vec<Step>) -> (Front, Upstream) {
@@ -107,7 +109,7 @@
 /// Credentials that the gateway knows nothing of are lost on their way to an upstream.
 #[tokio::test]
 async fn verify_credentials_are_passed_on_where_there_are_no_accounts() {
-    let config = versioned(1, Repeats::Idempotent, 2, false);
+    let config = config_of_version(1, Repeats::Idempotent, 2, false);
     let (front, upstream) = front_of(config, well()).await;
 
     front.post("r1", &format!("{GOOD}T-Account: other\r\n"), "").await;
--- a/crates/anvilhook-gateway/tests/support/clocks.rs
+++ b/crates/anvilhook-gateway/tests/support/clocks.rs
@@ -1,10 +1,10 @@
-//! A clock that goes with the runtime's timers.
+//! A clock that follows the runtime's timers.
 
 use anvilhook_core::units::{Clock, Millis};
 use tokio::time::Instant;
 
-/// `TimerClock` reads the time of the runtime's timers, which a test may pause. What is counted within a
-/// time then depends on that time only, and not on how busy the machine is.
+/// `TimerClock` reads the time of the runtime's timers, which a test may pause. Intervals then depend
+/// on that time only, and not on the load of the machine.
 #[derive(Clone, Copy, Debug)]
 pub struct TimerClock {
     started_at: Instant,
--- a/crates/anvilhook-gateway/tests/support/clouds.rs
+++ b/crates/anvilhook-gateway/tests/support/clouds.rs
@@ -1,37 +1,37 @@
-//! A platform's API in memory, with faults.
+//! An in-memory platform API that can answer with faults.
 
 use std::sync::{Arc, Mutex};
 
 use anvilhook_gateway::clouds::{Authority, Cloud, CloudAnswer, FleetOrder, UsageReport};
 
-/// `CalledWith` is a usage report as it came.
+/// `ReceivedReport` is a usage report as the API received it.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct CalledWith {
+pub struct ReceivedReport {
     pub holder: String,
     pub token: u64,
     pub report: UsageReport,
 }
 
-/// `MemoryCloud` is the API of one test. Clones share it.
+/// `MemoryCloud` is the API of one test. Clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryCloud {
-    reports: Arc<Mutex<Vec<CalledWith>>>,
+    reports: Arc<Mutex<Vec<ReceivedReport>>>,
     orders: Arc<Mutex<Vec<FleetOrder>>>,
     answers: Arc<Mutex<Vec<CloudAnswer>>>,
 }
 
 impl MemoryCloud {
-    /// Has the next calls answered so, the last one first; all others are accepted.
-    pub fn answer(&self, answers: &[CloudAnswer]) {
+    /// Sets the answers to the next calls, in reverse order. All later calls are accepted.
+    pub fn set_answers(&self, answers: &[CloudAnswer]) {
         *self.answers.lock().expect("no panic") = answers.to_vec();
     }
 
-    /// Returns the reports that came.
-    pub fn reports(&self) -> Vec<CalledWith> {
+    /// Returns the received reports.
+    pub fn reports(&self) -> Vec<ReceivedReport> {
         self.reports.lock().expect("no panic").clone()
     }
 
-    /// Returns the orders that came.
+    /// Returns the received orders.
     pub fn orders(&self) -> Vec<FleetOrder> {
         self.orders.lock().expect("no panic").clone()
     }
@@ -44,7 +44,7 @@
 impl Cloud for MemoryCloud {
     async fn report_usage(&self, authority: Authority<'_>, report: &UsageReport) -> CloudAnswer {
         let (holder, token) = (authority.holder.to_owned(), authority.token);
-        let called = CalledWith { holder, token, report: report.clone() };
+        let called = ReceivedReport { holder, token, report: report.clone() };
         self.reports.lock().expect("no panic").push(called);
         self.next_answer()
     }
--- a/crates/anvilhook-gateway/tests/support/fronts.rs
+++ b/crates/anvilhook-gateway/tests/support/fronts.rs
@@ -1,4 +1,4 @@
-//! A gateway on a real socket, and a caller.
+//! A gateway that listens on a real socket, and a caller that sends requests to it.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 
 use super::wires::{TestWire, limits};
 
-/// The gateway that is tested.
+/// The gateway under test.
 pub type TestGateway = Gateway<TestWire, SystemClock>;
 
 /// `Front` is a running gateway.
@@ -25,19 +25,19 @@
     pub address: SocketAddr,
 }
 
-/// `Answer` is what a caller got.
+/// `Answer` is the answer that a caller received.
 #[derive(Clone, Debug)]
 pub struct Answer {
     /// The status, 0 if there was no answer.
     pub status: u16,
-    /// The head, in lower case.
+    /// The head in lower case.
     pub head: String,
-    /// The body as it came, chunks included.
+    /// The body as received, including the chunk lengths.
     pub body: String,
 }
 
 impl Answer {
-    /// Returns whether the answer looks complete to a caller.
+    /// Returns whether the answer is complete by its length or its last chunk.
     pub fn is_complete(&self) -> bool {
         if self.head.contains("transfer-encoding: chunked") {
             return self.body.ends_with("0\r\n\r\n");
@@ -46,19 +46,19 @@
         length.and_then(|length| length.parse().ok()) == Some(self.body.len())
     }
 
-    /// Returns the numbers of the events in the body.
+    /// Returns the ids of the events in the body.
     pub fn events(&self) -> Vec<u64> {
         let ids = self.body.lines().filter_map(|line| line.strip_prefix("id: "));
         ids.map(|id| id.parse().expect("a number")).collect()
     }
 }
 
-/// Returns a budget that never ends.
+/// Returns a budget that no test uses up.
 pub fn ample_budget() -> BudgetOptions {
     BudgetOptions { share: 1.0, spare: 100.0, window: Millis(10_000) }
 }
 
-/// Returns a gateway with a configuration and upstreams, on a clock of the test's own.
+/// Returns a gateway with a configuration and upstreams, on the clock of the test.
 pub fn gateway<C: Clock>(
     clock: C,
     config: Option<Config>,
@@ -68,7 +68,7 @@
     gateway_in("zone-a", clock, config, entries, budget)
 }
 
-/// Returns the same in an availability zone.
+/// Returns a gateway like [`gateway`], in the given availability zone.
 pub fn gateway_in<C: Clock>(
     zone: &str,
     clock: C,
@@ -92,12 +92,12 @@
     gateway
 }
 
-/// Starts a gateway with a configuration and upstreams.
+/// Starts a gateway with a configuration and upstreams, on the system clock.
 pub async fn start(config: Option<Config>, entries: Vec<Entry>, budget: BudgetOptions) -> Front {
     start_with_clock(SystemClock::new(), config, entries, budget).await
 }
 
-/// Starts a gateway on a clock of the test's own.
+/// Starts a gateway with a configuration and upstreams, on the clock of the test.
 pub async fn start_with_clock<C: Clock>(
     clock: C,
     config: Option<Config>,
@@ -111,13 +111,18 @@
     Front { gateway, address }
 }
 
-/// Returns a configuration with one route, to `service`.
+/// Returns a configuration of version 1 with one route, to `service`.
 pub fn config(repeats: Repeats, max_attempts: u32, engine: bool) -> Config {
-    versioned(1, repeats, max_attempts, engine)
+    config_of_version(1, repeats, max_attempts, engine)
 }
 
-/// Returns the same of another version.
-pub fn versioned(version: u64, repeats: Repeats, max_attempts: u32, engine: bool) -> Config {
+/// Returns a configuration like [`config`], of the given version.
+pub fn config_of_version(
+    version: u64,
+    repeats: Repeats,
+    max_attempts: u32,
+    engine: bool,
+) -> Config {
     let service = ServiceSpec {
         name: Arc::from("service"),
         engine: engine.then_some(EngineSpec {
@@ -132,7 +137,7 @@
     Config::new(version, limits(), vec![service], vec![route(repeats, max_attempts)])
 }
 
-/// Returns a newer configuration whose callers wait for so long for the next event.
+/// Returns a newer configuration whose route has the given wait limit for the next event.
 pub fn with_patience(config: &Config, patience: Millis) -> Config {
     let route = config.route("host.example", "/a/").expect("the route of the tests");
     let services = config.services().cloned().collect();
@@ -140,7 +145,7 @@
     Config::new(config.version + 1, limits(), services, routes)
 }
 
-/// Returns a newer configuration whose route has no timeout, for callers that wait patiently.
+/// Returns a newer configuration whose route has no timeout.
 pub fn without_timeout(config: &Config) -> Config {
     let route = config.route("host.example", "/a/").expect("the route of the tests");
     let services = config.services().cloned().collect();
@@ -148,7 +153,7 @@
     Config::new(config.version + 1, limits(), services, routes)
 }
 
-/// Returns a newer configuration by which no request is late, however busy the machine is.
+/// Returns a newer configuration with limits so long that no request is late on a busy machine.
 pub fn with_long_timeouts(config: &Config) -> Config {
     const LONG: Millis = Millis(60_000);
     let route = config.route("host.example", "/a/").expect("the route of the tests");
@@ -176,7 +181,7 @@
 }
 
 impl<C: Clock> Front<C> {
-    /// Sends bytes and reads to the end of the connection.
+    /// Sends bytes, and reads the answer to the end of the connection.
     pub async fn raw(&self, bytes: &str) -> Answer {
         let mut stream = TcpStream::connect(self.address).await.expect("the front listens");
         stream.write_all(bytes.as_bytes()).await.expect("the front reads");
@@ -188,19 +193,19 @@
         Answer { status, head: head.to_lowercase(), body: body.to_owned() }
     }
 
-    /// Sends a request with a body.
+    /// Sends a request with a body, with a deadline of 2 s.
     pub async fn post(&self, id: &str, headers: &str, body: &str) -> Answer {
         self.raw(&request(id, headers, body)).await
     }
 
-    /// Sends the same for a caller that waits for as long as the route allows.
+    /// Sends a request with a body, with a deadline of 60 s.
     pub async fn post_with_long_deadline(&self, id: &str, headers: &str, body: &str) -> Answer {
         let bytes = request(id, headers, body);
         self.raw(&bytes.replace("T-Deadline: 2000", "T-Deadline: 60000")).await
     }
 }
 
-/// Returns a request after which the connection is closed.
+/// Returns the bytes of a request that closes the connection.
 pub fn request(id: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
--- a/crates/anvilhook-gateway/tests/support/mod.rs
+++ b/crates/anvilhook-gateway/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: a wire of their own, scripted upstreams, and a gateway in front of them.
+//! Support for the tests: a test wire, scripted upstreams, a table and API in memory, and a gateway.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::time::Duration;
@@ -10,13 +10,13 @@
 pub mod upstreams;
 pub mod wires;
 
-/// Waits until something holds, and fails if it never does.
-pub async fn until(mut holds: impl FnMut() -> bool) {
-    const LONGEST: Duration = Duration::from_secs(20);
+/// Waits until a condition is true, and panics if it is not within 20 s.
+pub async fn until(mut is_true: impl FnMut() -> bool) {
+    const MAX_WAIT: Duration = Duration::from_secs(20);
     let waiting = async {
-        while !holds() {
+        while !is_true() {
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
     };
-    tokio::time::timeout(LONGEST, waiting).await.expect("it comes to hold");
+    tokio::time::timeout(MAX_WAIT, waiting).await.expect("the condition becomes true in time");
 }
--- a/crates/anvilhook-gateway/tests/support/tables.rs
+++ b/crates/anvilhook-gateway/tests/support/tables.rs
@@ -1,4 +1,4 @@
-//! A table in memory, with faults.
+//! An in-memory table that simulates faults.
 
 use std::sync::{Arc, Mutex};
 
@@ -7,21 +7,21 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-/// `Fault` is what is wrong with a table.
+/// `Fault` is the fault that a table simulates.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// Calls succeed.
     #[default]
     None,
     /// Calls are refused.
     Unavailable,
-    /// The next changes are no longer kept.
+    /// The next call reports that the history of changes is no longer stored.
     HistoryGone,
-    /// Changes are too large to be read.
+    /// Changes are too large to be read within a call.
     LargeChanges,
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their answers are lost.
     AnswersLost,
-    /// Calls that wait for changes are never answered.
+    /// Calls that wait for changes get no answer.
     NoResponse,
 }
 
@@ -35,7 +35,7 @@
     refused: usize,
 }
 
-/// `MemoryTable` is a table of one test. Clones share it.
+/// `MemoryTable` holds the tables of one test. Clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryTable {
     state: Arc<Mutex<State>>,
@@ -43,7 +43,7 @@
 }
 
 impl MemoryTable {
-    /// Puts a row, whatever stood there.
+    /// Puts a row, or marks it as deleted, without a check of the stored version.
     pub fn put(&self, table: &str, key: &str, value: Option<&str>) {
         let mut state = self.state.lock().expect("no panic");
         state.version += 1;
@@ -56,7 +56,7 @@
         self.changed.notify_waiters();
     }
 
-    /// Sets what is wrong.
+    /// Sets the fault to simulate.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().expect("no panic").fault = fault;
         if fault != Fault::NoResponse {
@@ -64,13 +64,13 @@
         }
     }
 
-    /// Returns the waits that were asked for, and the number of scans.
+    /// Returns the wait of each call for changes, and the number of scans.
     pub fn calls(&self) -> (Vec<Millis>, usize) {
         let state = self.state.lock().expect("no panic");
         (state.waits.clone(), state.scans)
     }
 
-    /// Returns how many calls were refused.
+    /// Returns the number of refused calls.
     pub fn refused(&self) -> usize {
         self.state.lock().expect("no panic").refused
     }
@@ -100,7 +100,7 @@
         match state.fault {
             Fault::Unavailable => {
                 state.refused += 1;
-                Err(TableError::Refused("away".to_owned()))
+                Err(TableError::Refused("unavailable".to_owned()))
             }
             Fault::HistoryGone => {
                 state.fault = Fault::None;
@@ -132,8 +132,8 @@
             let changed = self.changed.notified();
             let _ = tokio::time::timeout(wait.as_duration(), changed).await;
             self.check()?;
-            let is_silent = self.state.lock().expect("no panic").fault == Fault::NoResponse;
-            if is_silent && wait > Millis::ZERO {
+            let has_no_response = self.state.lock().expect("no panic").fault == Fault::NoResponse;
+            if has_no_response && wait > Millis::ZERO {
                 std::future::pending::<()>().await;
             }
             rows = self.since(table, version);
--- a/crates/anvilhook-gateway/tests/support/upstreams.rs
+++ b/crates/anvilhook-gateway/tests/support/upstreams.rs
@@ -1,4 +1,4 @@
-//! Upstreams that answer by a script, byte for byte.
+//! Upstreams that answer with the exact bytes of a script.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,12 +12,12 @@
 
 use super::wires::entry;
 
-/// `Received` is a request as it came.
+/// `Received` is a request as the upstream received it.
 #[derive(Clone, Debug)]
 pub struct Received {
     /// The request line.
     pub line: String,
-    /// The header lines, in lower case.
+    /// The header lines, with names in lower case.
     pub headers: Vec<String>,
     /// The body.
     pub body: String,
@@ -31,22 +31,22 @@
     }
 }
 
-/// `Step` is a part of what an upstream does with a request.
+/// `Step` is one step of an upstream's script for a request.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Writes bytes. `{id}` stands for the request's id.
+    /// Writes bytes. `{id}` is replaced by the request's id.
     Write(String),
-    /// Closes the connection in order.
+    /// Closes the connection normally.
     Close,
     /// Closes the connection with a reset.
     Reset,
-    /// Does nothing for so many milliseconds.
+    /// Waits for the given number of milliseconds.
     Pause(u64),
-    /// Does nothing until it is notified.
+    /// Waits until it is notified.
     Await(Arc<Notify>),
-    /// Ends the upstream: nothing listens any more, and all its connections are reset.
+    /// Terminates the upstream: its listener is closed, and all its connections are reset.
     Terminate,
-    /// Does nothing until the other end closes the connection.
+    /// Waits until the client closes the connection.
     Hang,
 }
 
@@ -54,12 +54,12 @@
 pub struct Upstream {
     pub address: SocketAddr,
     received: Arc<Mutex<Vec<Received>>>,
-    left: Arc<Notify>,
+    closed: Arc<Notify>,
     ends: Arc<watch::Sender<bool>>,
 }
 
 impl Upstream {
-    /// Starts an upstream that does for each request what `script` says.
+    /// Starts an upstream that runs, for each request, the steps that `script` returns.
     pub async fn start<F>(script: F) -> Upstream
     where
         F: Fn(&Received) -> Vec<Step> + Send + Sync + 'static,
@@ -67,8 +67,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let received = Arc::new(Mutex::new(Vec::new()));
-        let left = Arc::new(Notify::new());
-        let (script, log, gone) = (Arc::new(script), Arc::clone(&received), Arc::clone(&left));
+        let closed = Arc::new(Notify::new());
+        let (script, log, has_closed) =
+            (Arc::new(script), Arc::clone(&received), Arc::clone(&closed));
         let ends = Arc::new(watch::Sender::new(false));
         let ended = Arc::clone(&ends);
         tokio::spawn(async move {
@@ -79,30 +80,36 @@
                     _ = is_over.changed() => return,
                 };
                 let (script, log) = (Arc::clone(&script), Arc::clone(&log));
-                tokio::spawn(serve(stream, script, log, Arc::clone(&gone), Arc::clone(&ended)));
+                tokio::spawn(serve(
+                    stream,
+                    script,
+                    log,
+                    Arc::clone(&has_closed),
+                    Arc::clone(&ended),
+                ));
             }
         });
-        Upstream { address, received, left, ends }
+        Upstream { address, received, closed, ends }
     }
 
-    /// Ends it: nothing listens any more, and all its connections are reset.
+    /// Terminates the upstream: its listener is closed, and all its connections are reset.
     pub fn terminate(&self) {
         self.ends.send_replace(true);
     }
 
-    /// Starts an upstream that does the same for each request.
+    /// Starts an upstream that runs the same steps for each request.
     pub async fn always(steps: Vec<Step>) -> Upstream {
         Self::start(move |_| steps.clone()).await
     }
 
-    /// Returns the requests that came.
+    /// Returns the received requests.
     pub fn received(&self) -> Vec<Received> {
         self.received.lock().expect("no panic").clone()
     }
 
-    /// Waits until the other end has left a connection that hangs.
+    /// Waits until the client has closed a connection in [`Step::Hang`].
     pub async fn client_closed(&self) {
-        self.left.notified().await;
+        self.closed.notified().await;
     }
 }
 
@@ -110,14 +117,14 @@
     mut stream: TcpStream,
     script: Arc<F>,
     log: Arc<Mutex<Vec<Received>>>,
-    left: Arc<Notify>,
+    closed: Arc<Notify>,
     ends: Arc<watch::Sender<bool>>,
 ) where
     F: Fn(&Received) -> Vec<Step>,
 {
     let mut is_over = ends.subscribe();
     let is_ended = tokio::select! {
-        () = play(&mut stream, script, log, left, &ends) => false,
+        () = play(&mut stream, script, log, closed, &ends) => false,
         _ = is_over.wait_for(|is_over| *is_over) => true,
     };
     if is_ended {
@@ -129,7 +136,7 @@
     stream: &mut TcpStream,
     script: Arc<F>,
     log: Arc<Mutex<Vec<Received>>>,
-    left: Arc<Notify>,
+    closed: Arc<Notify>,
     ends: &watch::Sender<bool>,
 ) where
     F: Fn(&Received) -> Vec<Step>,
@@ -160,7 +167,7 @@
                 Step::Hang => {
                     let mut buf = [0; 64];
                     while matches!(stream.read(&mut buf).await, Ok(len) if len > 0) {}
-                    left.notify_one();
+                    closed.notify_one();
                     return;
                 }
             }
@@ -203,7 +210,7 @@
     Some(Received { line, headers, body: String::from_utf8_lossy(&body).into_owned() })
 }
 
-/// Returns a signed answer with a length.
+/// Returns a signed answer with a content length.
 pub fn signed(status: &str, body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 {status}\r\nT-Id: {{id}}\r\nT-Signature: s\r\nContent-Length: {}\r\n\r\n{body}",
@@ -211,13 +218,13 @@
     ))
 }
 
-/// Returns a refusal that says that the request has not run.
+/// Returns a refusal that states that the request has not run.
 pub fn refusal() -> Step {
     let head = "HTTP/1.1 503 Service Unavailable\r\nT-Id: {id}\r\nT-Not-Run: 1\r\n";
     Step::Write(format!("{head}Content-Length: 0\r\n\r\n"))
 }
 
-/// Returns the head of a signed stream without a length.
+/// Returns the head of a signed stream in chunks.
 pub fn stream_head() -> Step {
     let head = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\n";
     Step::Write(format!(
@@ -240,7 +247,7 @@
     Step::Write("0\r\n\r\n".to_owned())
 }
 
-/// Returns a whole stream with the events from `first` to `last`.
+/// Returns a complete stream with the events from `first` to `last`.
 pub fn stream(first: u64, last: u64) -> Vec<Step> {
     let mut steps = vec![stream_head()];
     steps.extend((first..=last).map(event));
--- a/crates/anvilhook-gateway/tests/support/wires.rs
+++ b/crates/anvilhook-gateway/tests/support/wires.rs
@@ -1,4 +1,4 @@
-//! A wire with names that no deployment has.
+//! A wire whose header and table names occur in no deployment.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,7 +14,8 @@
 use http::header::{HeaderMap, HeaderName, HeaderValue};
 use http::{Method, StatusCode};
 
-/// `TestWire` is the tests' wire. Its configuration is a bare version, its entries are text.
+/// `TestWire` is the wire of the tests. A configuration is only a version, and an entry is a line of text
+/// with a state, a sequence and optionally a start time.
 #[derive(Clone)]
 pub struct TestWire {
     names: Arc<HeaderNames>,
@@ -84,7 +85,7 @@
 
     fn prompt(&self, headers: &HeaderMap) -> Option<Prompt> {
         let tokens = headers.get("t-tokens")?.to_str().ok()?.parse().ok()?;
-        // Prompts share their parts, unless they name the first one of their own.
+        // All prompts have the same parts, unless the header names another first part.
         let first = headers.get("t-first-part").and_then(|id| id.to_str().ok()?.parse().ok());
         let part = |id| Part { id, tokens: tokens / 2 };
         let first = first.unwrap_or(1);
@@ -171,7 +172,7 @@
     Limits { max_header_bytes: 2_000, max_body_bytes: 5_000 }
 }
 
-/// Returns an entry of the service `service` in the gateway's own zone.
+/// Returns an entry of the service `service` in the gateway's availability zone.
 pub fn entry(id: &str, port: u16) -> Entry {
     Entry {
         id: Arc::from(id),
