--- a/crates/anvilhook-gateway/tests/duties.rs
+++ b/crates/anvilhook-gateway/tests/duties.rs
@@ -1,4 +1,5 @@
-//! Duties at the platform's API: one holder at a time, one report a window, and engines by a fresh list.
+//! Duties at the platform's API: one lease holder at a time, one usage report per window, and orders of
+//! engines by a fresh instance list.
 
 mod support;
 
@@ -23,23 +24,23 @@
 use support::wires::{TestWire, entry, limits};
 
 const WINDOW: Millis = Millis(5_000);
-const DUE: Millis = Millis(10_000);
+const USAGE_DUE: Millis = Millis(10_000);
 const LEASE: Millis = Millis(3_000);
 const OWN: Source = Source::Instance { zone: 1, number: 1 };
 
-type TestKeeper = DutyRunner<TestWire, MemoryTable, ManualClock, MemoryCloud>;
+type TestRunner = DutyRunner<TestWire, MemoryTable, ManualClock, MemoryCloud>;
 
-/// `Site` is instances before one table and one API, on one clock.
+/// `Site` is what several instances share: one table, one API and one clock.
 struct Site {
     clock: ManualClock,
     table: MemoryTable,
     cloud: MemoryCloud,
 }
 
-/// `TestInstance` is one of them.
+/// `TestInstance` is an instance with its runner of duties.
 struct TestInstance {
     gateway: Gateway<TestWire, ManualClock>,
-    keeper: TestKeeper,
+    runner: TestRunner,
 }
 
 fn site() -> Site {
@@ -47,33 +48,33 @@
     Site { clock: ManualClock::new(), table, cloud }
 }
 
-fn keyed(repeats: Repeats) -> Config {
+fn config_with_key(repeats: Repeats) -> Config {
     let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
-    accounts.try_add(kitchen(), ["good-key"]).expect("a good key");
+    accounts.try_add(account(), ["good-key"]).expect("a valid key");
     with_long_timeouts(&config_of_version(1, repeats, 2, false)).with_accounts(accounts)
 }
 
-fn kitchen() -> ClientAccount {
+fn account() -> ClientAccount {
     ClientAccount { name: Arc::from("kitchen"), priority: None }
 }
 
 impl Site {
     fn instance(&self, name: &str) -> TestInstance {
-        let config = Some(keyed(Repeats::Idempotent));
+        let config = Some(config_with_key(Repeats::Idempotent));
         let gateway = gateway(self.clock.clone(), config, Vec::new(), ample_budget());
         let options = DutyOptions {
             lease: LEASE,
-            usage_due: Some(DUE),
+            usage_due: Some(USAGE_DUE),
             sizes: None,
             late_calls: Millis::ZERO,
         };
         let (table, clock, cloud) = (self.table.clone(), self.clock.clone(), self.cloud.clone());
-        let keeper =
+        let runner =
             DutyRunner::new(gateway.clone(), table, clock, cloud, name.to_owned(), options);
-        TestInstance { gateway, keeper }
+        TestInstance { gateway, runner }
     }
 
-    /// Lets time go on into the next window, to so long after its beginning.
+    /// Advances the clock to the given time after the start of the next window. Returns the ended window.
     fn enter_next_window(&self, instance: &TestInstance, after: Millis) -> u64 {
         let windows = Windows::of(WINDOW);
         let time = instance.gateway.usage().time(self.clock.now());
@@ -87,14 +88,14 @@
 impl TestInstance {
     fn count(&self, requests: usize, clock: &ManualClock) {
         for _ in 0..requests {
-            self.gateway.usage().count(OWN, &kitchen(), clock.now());
+            self.gateway.usage().count(OWN, &account(), clock.now());
         }
     }
 
-    /// Looks for long enough that a lease which has lapsed is taken.
-    async fn look_on(&mut self, clock: &ManualClock) {
+    /// Runs the duties for 5 s, long enough to take a lease that has expired.
+    async fn run_for_a_while(&mut self, clock: &ManualClock) {
         for _ in 0..20 {
-            self.keeper.run_once().await;
+            self.runner.run_once().await;
             clock.advance(Millis(250));
         }
     }
@@ -104,7 +105,7 @@
     vec![(Arc::from("kitchen"), requests)]
 }
 
-/// The usage of a window is missing, off, or reported before it is complete.
+/// Guards against a window whose usage is missing, wrong, or reported before it is complete.
 #[tokio::test]
 async fn verify_each_window_is_reported_once_after_its_end() {
     let site = site();
@@ -113,11 +114,11 @@
     one.count(3, &site.clock);
 
     let window = site.enter_next_window(&one, Millis(1_000));
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
     assert!(site.cloud.reports().iter().all(|called| called.report.window < window));
     site.clock.advance(Millis(2_000));
-    one.keeper.run_once().await;
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
+    one.runner.run_once().await;
 
     let reports = site.cloud.reports();
     let of_window: Vec<_> = reports.iter().filter(|one| one.report.window == window).collect();
@@ -125,9 +126,10 @@
     assert_eq!(of_window[0].report.counts, counts(3));
 }
 
-/// A window has two reports that differ: the answer to the first was lost, and counts came late.
+/// Guards against two different reports of a window: the answer to the first was lost, and a count arrived
+/// before the repetition.
 #[tokio::test]
-async fn verify_a_report_is_repeated_only_as_it_was() {
+async fn verify_a_report_is_only_repeated_unchanged() {
     let site = site();
     let mut one = site.instance("one");
     site.enter_next_window(&one, Millis(100));
@@ -136,9 +138,9 @@
     let window = site.enter_next_window(&one, Millis(3_000));
 
     site.cloud.set_answers(&[CloudAnswer::Busy, CloudAnswer::NoAnswer]);
-    one.keeper.run_once().await;
-    one.gateway.usage().count(OWN, &kitchen(), began_at);
-    one.look_on(&site.clock).await;
+    one.runner.run_once().await;
+    one.gateway.usage().count(OWN, &account(), began_at);
+    one.run_for_a_while(&site.clock).await;
 
     let reports = site.cloud.reports();
     let of_window: Vec<_> = reports.iter().filter(|one| one.report.window == window).collect();
@@ -146,10 +148,10 @@
     assert!(of_window.iter().all(|called| called.report.counts == counts(3)), "{reports:?}");
 }
 
-/// A successor reports its own sum of a window that its predecessor has reported, whose call is yet to be
-/// carried out.
+/// Guards against a successor that reports its own sum of a window, while the predecessor's call for that
+/// window may still be carried out.
 #[tokio::test]
-async fn verify_a_successor_sends_what_was_written() {
+async fn verify_a_successor_resends_the_recorded_report() {
     let site = site();
     let (mut one, mut two) = (site.instance("one"), site.instance("two"));
     site.enter_next_window(&one, Millis(100));
@@ -158,8 +160,8 @@
     let window = site.enter_next_window(&one, Millis(2_500));
 
     site.cloud.set_answers(&[CloudAnswer::NoAnswer]);
-    one.keeper.run_once().await;
-    two.look_on(&site.clock).await;
+    one.runner.run_once().await;
+    two.run_for_a_while(&site.clock).await;
 
     let reports = site.cloud.reports();
     let of_window: Vec<_> = reports.iter().filter(|one| one.report.window == window).collect();
@@ -169,51 +171,52 @@
     assert_eq!(of_window[1].report.counts, counts(3));
 }
 
-/// Two holders act in turns within a lease.
+/// Guards against two holders that both act within one lease.
 #[tokio::test]
-async fn verify_nobody_acts_while_another_holds_the_lease() {
+async fn verify_no_instance_acts_while_another_holds_the_lease() {
     let site = site();
     let (mut one, mut two) = (site.instance("one"), site.instance("two"));
     site.enter_next_window(&one, Millis(2_500));
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
     let before = site.cloud.reports().len();
 
-    two.keeper.run_once().await;
+    two.runner.run_once().await;
     site.clock.advance(LEASE);
-    two.keeper.run_once().await;
+    two.runner.run_once().await;
 
     assert_eq!((before, site.cloud.reports().len()), (1, 1));
 }
 
-/// A holder that was suspended calls with the token of a lease that another one has taken since.
+/// Guards against a suspended holder that resumes and calls with the token of its lease, although another
+/// instance has taken the lease meanwhile.
 #[tokio::test]
-async fn verify_a_holder_that_wakes_up_reads_its_lease_anew() {
+async fn verify_a_resumed_holder_reloads_its_lease() {
     let site = site();
     let (mut one, mut two) = (site.instance("one"), site.instance("two"));
     site.enter_next_window(&one, Millis(2_500));
-    one.keeper.run_once().await;
-    two.keeper.run_once().await;
+    one.runner.run_once().await;
+    two.runner.run_once().await;
     site.enter_next_window(&one, Millis(2_500));
-    two.keeper.run_once().await;
+    two.runner.run_once().await;
     assert_eq!(site.cloud.reports().last().map(|called| &*called.holder), Some("two"));
 
     site.enter_next_window(&one, Millis(2_500));
-    two.keeper.run_once().await;
+    two.runner.run_once().await;
     let calls = site.cloud.reports().len();
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
 
     assert_eq!(site.cloud.reports().len(), calls);
 }
 
-/// A holder's token rises with each renewal, and a call of its own that is carried out late counts as an
-/// earlier holder's.
+/// Guards against a token that rises with each renewal: a late call of the same holder would count as one
+/// of an earlier holder.
 #[tokio::test]
 async fn verify_a_holder_keeps_its_token() {
     let site = site();
     let mut one = site.instance("one");
     for _ in 0..3 {
         site.enter_next_window(&one, Millis(2_500));
-        one.keeper.run_once().await;
+        one.runner.run_once().await;
     }
 
     let tokens: Vec<_> = site.cloud.reports().iter().map(|called| called.token).collect();
@@ -221,71 +224,72 @@
     assert!(tokens.iter().all(|token| *token == tokens[0]), "{tokens:?}");
 }
 
-/// A holder whom the platform has told of a newer one goes on calling.
+/// Guards against a holder that continues its calls after the platform has reported a newer holder.
 #[tokio::test]
-async fn verify_a_fenced_holder_leaves_the_newer_one_its_time() {
+async fn verify_a_fenced_holder_yields_to_the_newer_one() {
     let site = site();
     let mut one = site.instance("one");
     site.enter_next_window(&one, Millis(2_500));
     site.cloud.set_answers(&[CloudAnswer::Conflict]);
 
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
     site.clock.advance(LEASE);
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
 
     assert_eq!(site.cloud.reports().len(), 1);
 }
 
-/// A report is sent though nobody could write it, or a lease whose writing got no answer is used.
+/// Guards against a report that is sent without a record in the table, and against the use of a lease whose
+/// write got no answer.
 #[tokio::test]
-async fn verify_nothing_is_sent_while_the_table_is_away() {
+async fn verify_nothing_is_sent_while_the_table_is_unavailable() {
     for fault in [Fault::Unavailable, Fault::AnswersLost] {
         let site = site();
         let mut one = site.instance("one");
         site.enter_next_window(&one, Millis(2_500));
         site.table.set_fault(fault);
-        one.keeper.run_once().await;
+        one.runner.run_once().await;
         assert_eq!(site.cloud.reports(), [], "{fault:?}");
 
         site.table.set_fault(Fault::None);
-        one.look_on(&site.clock).await;
+        one.run_for_a_while(&site.clock).await;
         assert!(!site.cloud.reports().is_empty(), "{fault:?}");
     }
 }
 
-/// A report that is too late to count holds up those after it.
+/// Guards against a report that is too late to count and delays the reports of later windows.
 #[tokio::test]
-async fn verify_windows_whose_time_is_over_are_left_out() {
+async fn verify_windows_that_are_overdue_are_skipped() {
     let site = site();
     let mut one = site.instance("one");
     site.enter_next_window(&one, Millis(2_500));
-    one.keeper.run_once().await;
+    one.runner.run_once().await;
     let missed = site.enter_next_window(&one, Millis(100));
     site.clock.advance(WINDOW * 3);
 
-    one.look_on(&site.clock).await;
+    one.run_for_a_while(&site.clock).await;
 
     let windows: Vec<_> = site.cloud.reports().iter().map(|one| one.report.window).collect();
     assert!(!windows.contains(&missed) && windows.len() > 2, "{windows:?} {missed}");
 }
 
-/// Requests are billed that never ran, or twice because they were tried twice.
+/// Guards against billing requests that never ran, or billing retried requests twice.
 #[tokio::test]
 async fn verify_a_request_counts_once_and_only_if_it_may_have_run() {
-    // What the first upstream does, and how many requests count.
+    // The case, the steps of the first upstream, and the number of requests that count.
     let cases = [
-        ("well", vec![signed("200 OK", "well")], 1),
-        ("its own error", vec![signed("500 Error", "why")], 1),
-        ("cut", vec![Step::Close], 1),
+        ("success", vec![signed("200 OK", "well")], 1),
+        ("upstream's own error", vec![signed("500 Error", "why")], 1),
+        ("closed connection", vec![Step::Close], 1),
         ("refused", vec![refusal()], 0),
     ];
     for (name, steps, expected) in cases {
         let upstream = Upstream::always(steps).await;
-        let again = Upstream::always(vec![refusal()]).await;
-        let entries = [("first", &upstream), ("second", &again)];
+        let second = Upstream::always(vec![refusal()]).await;
+        let entries = [("first", &upstream), ("second", &second)];
         let entries = entries.map(|(id, one)| entry(id, one.address.port()));
         let clock = ManualClock::new();
-        let config = Some(keyed(Repeats::Idempotent));
+        let config = Some(config_with_key(Repeats::Idempotent));
         let front = start_with_clock(clock.clone(), config, entries.into(), ample_budget()).await;
 
         front.post("r1", "Authorization: Bearer good-key\r\n", "").await;
@@ -300,7 +304,7 @@
 
 const SIZES: SizeOptions = SizeOptions { max_factor: 1.0, max_cost: 1.0, regular: 0.0 };
 
-/// Returns listed engines of a zone.
+/// Returns the entries of engines in an availability zone.
 fn engines(zone: &str, count: usize, reclaimable: bool) -> Vec<Entry> {
     let one = |at: usize| Entry {
         zone: zone.into(),
@@ -312,7 +316,7 @@
 }
 
 impl Site {
-    /// Returns an instance that knows engines in two zones and may order others.
+    /// Returns an instance that has the given entries and may order other engines.
     fn sizing(&self, name: &str, entries: Vec<Entry>) -> TestInstance {
         let config = config_of_version(1, Repeats::Idempotent, 2, true);
         let service = config.services().next().expect("the service of the tests").clone();
@@ -329,54 +333,57 @@
             late_calls: Millis::ZERO,
         };
         let (table, clock, cloud) = (self.table.clone(), self.clock.clone(), self.cloud.clone());
-        let keeper =
+        let runner =
             DutyRunner::new(gateway.clone(), table, clock, cloud, name.to_owned(), options);
-        TestInstance { gateway, keeper }
+        TestInstance { gateway, runner }
     }
 }
 
-/// Engines are ordered by a list that nobody has read for a while.
+/// Guards against orders of engines by an instance list that has not been read recently.
 #[tokio::test]
-async fn verify_no_engines_are_ordered_by_an_old_list() {
+async fn verify_no_engines_are_ordered_by_a_stale_list() {
     let site = site();
     let mut one = site.sizing("one", engines("a", 4, false));
     one.gateway.record_contact("list");
     site.clock.advance(Millis(8_000));
 
-    one.look_on(&site.clock).await;
+    one.run_for_a_while(&site.clock).await;
     assert_eq!(site.cloud.orders(), []);
 
     one.gateway.record_contact("list");
-    one.look_on(&site.clock).await;
+    one.run_for_a_while(&site.clock).await;
     assert!(!site.cloud.orders().is_empty());
 }
 
-/// A holder that comes later takes those that the one before has ordered for what is usual, and orders as
-/// many again.
+/// Guards against a successor that takes engines ordered by its predecessor for the usual number, and orders
+/// as many again.
 #[tokio::test]
 async fn verify_a_successor_knows_how_many_engines_are_usual() {
     let site = site();
     let listed = [engines("a", 4, false), engines("b", 4, false)].concat();
     let mut one = site.sizing("one", listed.clone());
     one.gateway.record_contact("list");
-    one.look_on(&site.clock).await;
+    one.run_for_a_while(&site.clock).await;
     let desired = |orders: Vec<FleetOrder>| -> Vec<_> {
         let orders = orders.into_iter().map(|order| order.size);
         orders.map(|size| (size.zone.to_string(), size.kind, size.desired)).collect()
     };
-    let cheap = EngineKind::Reclaimable;
-    assert_eq!(desired(site.cloud.orders()), [("a".into(), cheap, 4), ("b".into(), cheap, 4)]);
+    let reclaimable = EngineKind::Reclaimable;
+    assert_eq!(
+        desired(site.cloud.orders()),
+        [("a".into(), reclaimable, 4), ("b".into(), reclaimable, 4)]
+    );
 
     let doubled = [listed, engines("a", 4, true), engines("b", 4, true)].concat();
     let mut two = site.sizing("two", doubled);
     for _ in 0..4 {
         two.gateway.record_contact("list");
-        two.look_on(&site.clock).await;
+        two.run_for_a_while(&site.clock).await;
     }
 
     let orders = desired(site.cloud.orders());
     assert!(orders.len() > 2, "{orders:?}");
-    let given_up = [EngineKind::Regular; 2].map(|kind| (kind, 0));
+    let released = [EngineKind::Regular; 2].map(|kind| (kind, 0));
     let rest: Vec<_> = orders[2..4].iter().map(|(_, kind, desired)| (*kind, *desired)).collect();
-    assert_eq!(rest, given_up, "{orders:?}");
+    assert_eq!(rest, released, "{orders:?}");
 }
--- a/crates/anvilhook-gateway/tests/followers.rs
+++ b/crates/anvilhook-gateway/tests/followers.rs
@@ -1,4 +1,4 @@
-//! Following the tables: lapses, old reports, outages, and configurations that never go back.
+//! Followers of the tables: lapsed entries, old reports, outages, and configurations that never go back.
 
 mod support;
 
@@ -25,90 +25,91 @@
     Entry { draining, sequence, ..entry(id, 1) }
 }
 
-fn ids(book: &EntryRegistry) -> Vec<String> {
-    let mut ids: Vec<_> = book.entries().map(|entry| entry.id.to_string()).collect();
+fn ids(registry: &EntryRegistry) -> Vec<String> {
+    let mut ids: Vec<_> = registry.entries().map(|entry| entry.id.to_string()).collect();
     ids.sort();
     ids
 }
 
-/// Symptom: requests go to an upstream that is leaving or gone.
-/// Sequence: a report that was held up arrives after a newer one.
-/// Cause: the reports' numbers, not their arrival, give their order.
+/// Symptom: requests go to an upstream that is leaving or has terminated.
+/// Sequence: a delayed report arrives after a newer one.
+/// Cause: reports must be ordered by their numbers, not by their arrival.
 #[test]
 fn verify_an_old_report_changes_nothing() {
-    let draining = |book: &EntryRegistry| book.entries().any(|entry| entry.draining);
-    let mut book = EntryRegistry::new();
-    book.put(report("a", false, 1));
-    book.put(report("a", true, 3));
-
-    assert!(!book.put(report("a", false, 2)), "an older report");
-    assert!(draining(&book));
-    book.put(report("a", false, 4));
-    assert!(draining(&book), "leaving is never taken back");
-
-    assert!(book.remove("a", Millis(10)));
-    assert!(!book.put(report("a", false, 4)), "a report from before the removal");
-    assert!(ids(&book).is_empty());
-    assert!(book.put(report("a", false, 5)), "one from after it");
+    let draining = |registry: &EntryRegistry| registry.entries().any(|entry| entry.draining);
+    let mut registry = EntryRegistry::new();
+    registry.put(report("a", false, 1));
+    registry.put(report("a", true, 3));
+
+    assert!(!registry.put(report("a", false, 2)), "an older report");
+    assert!(draining(&registry));
+    registry.put(report("a", false, 4));
+    assert!(draining(&registry), "an upstream never stops leaving");
+
+    assert!(registry.remove("a", Millis(10)));
+    assert!(!registry.put(report("a", false, 4)), "a report from before the removal");
+    assert!(ids(&registry).is_empty());
+    assert!(registry.put(report("a", false, 5)), "a report from after the removal");
 }
 
-/// Symptom: all upstreams vanish after an outage of the table, though they run.
-/// Sequence: the table is away; entries lapse, for the upstreams can't report; it returns.
-/// Cause: entries are given time to be back. One that is leaving, or still missing then, is gone.
+/// Symptom: all upstreams disappear after an outage of the table, although they run.
+/// Sequence: during an outage, entries lapse as the upstreams can't report; then the table recovers.
+/// Cause: lapsed entries must get time to return. An entry that is leaving, or is still missing after
+/// that time, is removed.
 #[test]
-fn verify_lapsed_entries_have_time_to_be_back() {
-    let mut book = EntryRegistry::new();
+fn verify_lapsed_entries_have_time_to_return() {
+    let mut registry = EntryRegistry::new();
     for id in ["back", "late", "gone"] {
-        book.put(report(id, false, 1));
+        registry.put(report(id, false, 1));
     }
-    book.put(report("leaving", true, 1));
-    book.regained(Millis(10_000));
-
-    book.reset(Vec::new(), Millis(10_000));
-    assert_eq!(ids(&book), ["back", "gone", "late"]);
-    book.put(report("back", false, 2));
-    assert!(!book.expire(Millis(11_900)));
-    book.put(report("late", false, 2));
-    assert!(book.expire(Millis(12_200)));
-
-    assert_eq!(ids(&book), ["back", "late"]);
-    assert!(book.remove("back", Millis(12_201)), "no grace beyond the return");
+    registry.put(report("leaving", true, 1));
+    registry.regained(Millis(10_000));
+
+    registry.reset(Vec::new(), Millis(10_000));
+    assert_eq!(ids(&registry), ["back", "gone", "late"]);
+    registry.put(report("back", false, 2));
+    assert!(!registry.expire(Millis(11_900)));
+    registry.put(report("late", false, 2));
+    assert!(registry.expire(Millis(12_200)));
+
+    assert_eq!(ids(&registry), ["back", "late"]);
+    assert!(registry.remove("back", Millis(12_201)), "no grace time is left after the recovery");
 }
 
-/// Symptom: an upstream that left gets work three seconds after the end of a cut.
-/// Sequence: a call is sent just before the cut's end and hangs; the upstream's entry is removed
-/// after the end; a second later the return is noticed, and the removal is taken for a lapse.
-/// Cause: the time for entries to be back counts from when the table was last known to be away.
+/// Symptom: an upstream that has left gets work three seconds after the end of a network partition.
+/// Sequence: a call is sent just before the partition ends, and hangs. The upstream's entry is removed
+/// after the end. A second later the recovery is noticed, and the removal is taken for a lapse.
+/// Cause: the grace time must start when the table was last known to be unreachable.
 #[test]
-fn verify_a_late_notice_of_the_return_gives_no_more_time() {
-    // When the last failed call was sent, when the return was noticed, and when the grace is over.
+fn verify_a_late_notice_of_recovery_extends_no_grace_time() {
+    // When the last failed call was sent, when the recovery was noticed, and when the grace time ends.
     let cases = [(26_474, 27_598, 29_174), (9_990, 10_000, 12_200), (8_000, 10_000, 10_700)];
-    for (last_away, noticed, expected) in cases {
-        let mut book = EntryRegistry::new();
-        book.put(report("left", false, 1));
-        book.regained(Millis(noticed));
-        book.bound_grace(Millis(last_away));
-
-        assert!(!book.remove("left", Millis(noticed)));
-
-        assert_eq!(book.next_expiry(), Some(Millis(expected)));
-        assert!(!book.expire(Millis(expected - 1)));
-        assert!(book.expire(Millis(expected)));
-        assert!(ids(&book).is_empty());
+    for (last_failed, noticed, expected) in cases {
+        let mut registry = EntryRegistry::new();
+        registry.put(report("left", false, 1));
+        registry.regained(Millis(noticed));
+        registry.bound_grace(Millis(last_failed));
+
+        assert!(!registry.remove("left", Millis(noticed)));
+
+        assert_eq!(registry.next_expiry(), Some(Millis(expected)));
+        assert!(!registry.expire(Millis(expected - 1)));
+        assert!(registry.expire(Millis(expected)));
+        assert!(ids(&registry).is_empty());
     }
 }
 
 /// Symptom: an upstream that runs never gets work again.
-/// Sequence: it starts again under the id that it had; its reports begin anew at a low number, and
-/// reports of the start before arrive among them, in any order.
-/// Cause: the start comes before the number in the order of reports, and a later start neither
-/// leaves nor is gone because the earlier one was.
+/// Sequence: it restarts under the same id. Its reports begin again at a low number, and reports from
+/// before the restart arrive between them, in any order.
+/// Cause: reports must be ordered by start time first, then by number. That the earlier start was
+/// leaving or removed must not affect the later one.
 #[test]
-fn verify_a_later_start_under_the_same_id_counts_anew() {
+fn verify_reports_of_a_restart_under_the_same_id_count() {
     let of =
         |born: Option<u64>, draining, sequence| Entry { born, ..report("a", draining, sequence) };
     let (before, after) = (Some(1_000), Some(2_000));
-    // The entries in order of arrival, and which start counts in the end and whether it is leaving.
+    // The entries in order of arrival, and the start that counts in the end and whether it is leaving.
     let cases = [
         (vec![of(before, false, 9), of(after, false, 1)], after, false),
         (vec![of(before, true, 9), of(after, false, 1)], after, false),
@@ -118,51 +119,52 @@
         (vec![of(after, true, 1), of(after, false, 2)], after, true),
         (vec![of(None, true, 9), of(after, false, 1)], after, false),
         (vec![of(after, false, 1), of(None, true, 9)], after, false),
-        // The clock of an upstream's start may stand far off: it is compared only with itself.
+        // An upstream's clock may be far off: its start times are compared only with each other.
         (vec![of(Some(0), false, 9), of(Some(u64::MAX), false, 1)], Some(u64::MAX), false),
     ];
     for (entries, born, draining) in cases {
         for is_removed_between in [false, true] {
-            let mut book = EntryRegistry::new();
+            let mut registry = EntryRegistry::new();
             for (at, entry) in entries.iter().enumerate() {
                 if is_removed_between && at > 0 && entry.born > entries[at - 1].born {
-                    assert!(book.remove("a", Millis(10)));
+                    assert!(registry.remove("a", Millis(10)));
                 }
-                book.put(entry.clone());
+                registry.put(entry.clone());
             }
 
-            let left: Vec<_> = book.entries().map(|entry| (entry.born, entry.draining)).collect();
+            let left: Vec<_> =
+                registry.entries().map(|entry| (entry.born, entry.draining)).collect();
 
             assert_eq!(left, [(born, draining)], "{entries:?} {is_removed_between}");
         }
     }
 }
 
-/// Symptom: requests go to an address that a foreign writer put into the table, or an upstream whose
-/// row was overwritten stays away for good.
-/// Sequence: a row is overwritten by bytes that can't be read; the upstream reports again, with its
-/// next number.
-/// Cause: a row that can't be read names no upstream, and says nothing of the upstream's own reports.
+/// Symptom: requests go to an upstream whose row a foreign writer has overwritten, or the upstream
+/// remains unlisted for ever.
+/// Sequence: a row is overwritten by unreadable bytes; then the upstream reports with its next number.
+/// Cause: an unreadable row must list no upstream, but must not affect the order of the upstream's own
+/// reports.
 #[test]
-fn verify_an_overwritten_row_names_nobody_until_the_upstream_reports_again() {
-    let mut book = EntryRegistry::new();
-    book.put(report("a", false, 4));
-    book.put(report("b", false, 4));
+fn verify_an_overwritten_row_lists_no_upstream_until_it_reports_again() {
+    let mut registry = EntryRegistry::new();
+    registry.put(report("a", false, 4));
+    registry.put(report("b", false, 4));
 
-    assert!(book.discard("a", Millis(10)));
-    assert!(!book.discard("unheard of", Millis(10)));
+    assert!(registry.discard("a", Millis(10)));
+    assert!(!registry.discard("unknown", Millis(10)));
 
-    assert_eq!(ids(&book), ["b"]);
-    assert!(!book.put(report("a", false, 3)), "an older report than the overwritten one");
-    assert!(book.put(report("a", false, 4)));
+    assert_eq!(ids(&registry), ["b"]);
+    assert!(!registry.put(report("a", false, 3)), "an older report than the overwritten one");
+    assert!(registry.put(report("a", false, 4)));
 }
 
-/// Symptom: an upstream whose row was overwritten stays away for good, though it reports again.
-/// Sequence: the row is spoilt, and the table is read whole; the upstream reports with the number that it
-/// has.
-/// Cause: what the whole table lacked was taken for removed, also a row that stands there and can't be read.
+/// Symptom: an upstream whose row was overwritten remains unlisted for ever, although it reports again.
+/// Sequence: the row becomes unreadable, and the whole table is scanned; the upstream reports with its
+/// unchanged number.
+/// Cause: entries missing from a scan were taken for removed, also those with a row that can't be read.
 #[tokio::test]
-async fn verify_an_overwritten_row_is_no_removal_where_the_table_is_read_whole() {
+async fn verify_an_overwritten_row_is_no_removal_in_a_scan() {
     let gateway = gateway().await;
     let row = |key: &str, value: &str, version| Row {
         key: key.to_owned(),
@@ -182,11 +184,11 @@
     assert!(listed("a"));
 }
 
-/// Symptom: requests go to an address that nobody listens at, for two seconds after an outage.
-/// Sequence: the table was away; a row is spoilt, and the table is read whole.
-/// Cause: the row was taken for one that lapsed in the outage, and its entry given time to be back.
+/// Symptom: for two seconds after an outage, requests go to an address where no upstream listens.
+/// Sequence: the table recovers from an outage; a row has become unreadable, and the table is scanned.
+/// Cause: the row was taken for one that lapsed in the outage, and its entry got time to return.
 #[tokio::test]
-async fn verify_an_overwritten_row_names_nobody_after_an_outage() {
+async fn verify_an_overwritten_row_lists_no_upstream_after_an_outage() {
     let gateway = gateway().await;
     let row = |value: &str, version| Row {
         key: "a".to_owned(),
@@ -207,7 +209,7 @@
     start(None, Vec::new(), ample_budget()).await.gateway
 }
 
-/// Returns a gateway that follows the configuration in a table, and has its first version.
+/// Returns a gateway that follows the configuration in a table and has adopted version 1.
 async fn following_config() -> (TestGateway, MemoryTable) {
     let gateway = gateway().await;
     let table = MemoryTable::default();
@@ -219,10 +221,10 @@
 }
 
 /// Symptom: an instance goes back to an older configuration.
-/// Sequence: an older version is read after a newer one, or the changes' history is gone.
-/// Cause: a version is put in force only above the one in force.
+/// Sequence: an older version is read after a newer one, or the history of changes is not stored.
+/// Cause: a version must only be applied if it is above the active one.
 #[tokio::test]
-async fn verify_the_configuration_only_moves_on() {
+async fn verify_the_configuration_never_goes_back() {
     let gateway = gateway().await;
     let table = MemoryTable::default();
     let clock = SystemClock::new();
@@ -238,16 +240,16 @@
     table.put("configs", "current", Some("8"));
 
     until(|| version() == 8).await;
-    assert!(table.calls().1 >= 2, "the table was read anew");
+    assert!(table.calls().1 >= 2, "the table was scanned again");
     gateway.adopt_config(config_of_version(6, Repeats::Idempotent, 1, false));
     assert_eq!(version(), 8);
 }
 
-/// Symptom: a change is in force seconds late after the table's return.
-/// Sequence: a call that waits for changes is sent while the table is away and hears nothing.
-/// Cause: while the table is away, calls must not wait for changes.
+/// Symptom: a change is applied seconds late after the table has recovered.
+/// Sequence: a call that waits for changes is sent while the table is unavailable, and gets no answer.
+/// Cause: while the table is unavailable, calls must not wait for changes.
 #[tokio::test]
-async fn verify_calls_do_not_wait_while_the_table_is_away() {
+async fn verify_calls_do_not_wait_while_the_table_is_unavailable() {
     let (gateway, table) = following_config().await;
     let first_waits = || table.calls().0;
     until(|| !first_waits().is_empty()).await;
@@ -263,12 +265,12 @@
     assert_eq!(waits[2..4], [Millis::ZERO, Millis::ZERO]);
 }
 
-/// Symptom: an instance keeps an old configuration for as long as the history of changes reaches.
-/// Sequence: the table is away while several versions are written; all of them together are too
-/// large to be read in the time of a call.
-/// Cause: what stands there now is read in place of the changes.
+/// Symptom: an instance retains an old configuration for as long as the history of changes lasts.
+/// Sequence: several versions are written while the table is unavailable. Together they are too large
+/// to be read in the time of a call.
+/// Cause: the table's current rows must be read instead of the changes.
 #[tokio::test]
-async fn verify_changes_too_large_to_be_read_are_not_asked_for_again() {
+async fn verify_changes_too_large_to_be_read_are_not_requested_again() {
     let (gateway, table) = following_config().await;
 
     table.set_fault(Fault::Unavailable);
@@ -280,8 +282,8 @@
 }
 
 /// Symptom: an upstream that has left gets work, or one that runs gets none.
-/// Sequence: entries appear, begin to leave, vanish, and lapse in an outage.
-/// Cause: the fleet is the listed entries, kept through the outage.
+/// Sequence: entries appear, begin to leave, are removed, and lapse in an outage.
+/// Cause: the fleet must match the listed entries, and retain them through the outage.
 #[tokio::test]
 async fn verify_the_fleet_follows_the_entries() {
     let gateway = gateway().await;
@@ -304,14 +306,14 @@
     table.set_fault(Fault::None);
     until(|| takes_work("c")).await;
 
-    assert!(takes_work("b"), "it lapsed in the outage and has time to be back");
+    assert!(takes_work("b"), "it lapsed in the outage and has time to return");
     assert!(!takes_work("a"));
     until(|| !takes_work("b")).await;
 }
 
 /// Symptom: a new instance refuses all requests as if there were no upstreams.
-/// Sequence: the first reading finds a row that can't be read.
-/// Cause: one bad row must not hide the others.
+/// Sequence: the first scan of the table returns an unreadable row.
+/// Cause: one unreadable row must not hide the others.
 #[tokio::test]
 async fn verify_one_bad_row_hides_no_other() {
     let gateway = gateway().await;
@@ -330,9 +332,9 @@
     assert_eq!(listed, [Arc::from("good")]);
 }
 
-/// Symptom: the start of many upstreams costs each instance a call to the table for each of them.
+/// Symptom: when many upstreams start, each instance calls the table once for each of them.
 /// Sequence: forty upstreams register one after the other within a second.
-/// Cause: after a change, further ones gather for a moment before they are asked for.
+/// Cause: after a change, the follower must wait a moment and request further changes together.
 #[tokio::test(start_paused = true)]
 async fn verify_upstreams_that_start_together_are_read_together() {
     const UPSTREAMS: usize = 40;
@@ -352,11 +354,12 @@
 }
 
 /// Symptom: an instance sends requests to an upstream that left twenty seconds before.
-/// Sequence: there are many instances, so that each call for changes waits long; the connection of
-/// one goes silent, and then the upstream leaves. Another instance hears of it and tells.
-/// Cause: whoever hears of a change that its own call does not bring asks the table again.
+/// Sequence: there are many instances, so each call for changes waits long. One instance's connection
+/// stops responding, and then the upstream leaves. Another instance receives the change and publishes it.
+/// Cause: an instance must query the table again when a peer announces a change that its own call has
+/// not returned.
 #[tokio::test]
-async fn verify_a_silent_connection_is_noticed_by_what_peers_tell() {
+async fn verify_a_connection_without_response_is_noticed_through_peers() {
     let gateway = gateway().await;
     let table = MemoryTable::default();
     table.put("upstreams", "a", Some("ready 1"));
@@ -371,14 +374,18 @@
     gateway.peers().version_of(FollowedTable::Entries).record_announced(table.version());
 
     until(|| !gateway.fleet().takes_work("a", Millis::ZERO)).await;
-    assert_eq!(table.calls().0.last(), Some(&Millis::ZERO), "no further call that may go silent");
+    assert_eq!(
+        table.calls().0.last(),
+        Some(&Millis::ZERO),
+        "no further call that may get no response"
+    );
 }
 
-/// Symptom: the table is asked for ever for a version that it does not have.
-/// Sequence: a peer tells of a version that no row bears.
-/// Cause: what was told of is asked for once.
+/// Symptom: the table is queried for ever for a version that it does not have.
+/// Sequence: a peer announces a version that no row has.
+/// Cause: an announced version must be queried only once.
 #[tokio::test]
-async fn verify_a_version_that_nobody_can_read_is_asked_for_once() {
+async fn verify_a_version_that_no_row_has_is_queried_once() {
     let version = TableVersion::default();
     version.record_own(5);
     version.record_announced(9);
@@ -388,18 +395,18 @@
 
     assert!(version.wait_for_newer(5).now_or_never().is_none());
     version.record_announced(8);
-    assert!(version.wait_for_newer(5).now_or_never().is_none(), "an older one");
+    assert!(version.wait_for_newer(5).now_or_never().is_none(), "an older version");
     version.record_announced(10);
     assert!(version.wait_for_newer(5).now_or_never().is_some());
 }
 
-/// Symptom: an upstream that has left gets work for seconds beyond its notice, until some other entry
+/// Symptom: an upstream that has left gets work for seconds beyond its notice, until another entry
 /// changes.
-/// Sequence: two entries lapse one after the other, around an outage of which others tell again and
-/// again; so each has an end of its own to the time in which it may be back. Then nothing changes.
-/// Cause: only the first of those ends was waited for.
+/// Sequence: two entries lapse one after the other, around an outage that is reported several times, so
+/// each entry's grace time ends at another time. Then nothing changes.
+/// Cause: the follower only waited for the first of these ends.
 #[tokio::test]
-async fn verify_each_lapsed_entry_goes_at_its_own_time() {
+async fn verify_each_lapsed_entry_expires_at_its_own_time() {
     let gateway = gateway().await;
     let clock = SystemClock::new();
     let row = |key: &str, value: Option<&str>, version| Row {
@@ -416,6 +423,6 @@
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 
-    assert_eq!(gateway.fleet().view().all().count(), 2, "both have time to be back");
+    assert_eq!(gateway.fleet().view().all().count(), 2, "both have time to return");
     until(|| gateway.fleet().view().all().count() == 0).await;
 }
--- a/crates/anvilhook-gateway/tests/keys.rs
+++ b/crates/anvilhook-gateway/tests/keys.rs
@@ -1,4 +1,4 @@
-//! API keys of client accounts: who is served, and what upstreams are told.
+//! API keys of client accounts: which callers are served, and what is forwarded to upstreams.
 
 mod support;
 
@@ -18,10 +18,10 @@
 const GOOD: &str = "Authorization: Bearer good-key\r\n";
 
 /// Returns a configuration in which `keys` belong to the account `kitchen`.
-fn keyed(version: u64, repeats: Repeats, keys: &[&str]) -> Config {
+fn config_with_keys(version: u64, repeats: Repeats, keys: &[&str]) -> Config {
     let mut accounts = AccountRegistry::new(KeyHasher::new([3; 32]));
     let account = ClientAccount { name: Arc::from("kitchen"), priority: Some(0) };
-    accounts.try_add(account, keys.iter().copied()).expect("good keys");
+    accounts.try_add(account, keys.iter().copied()).expect("valid keys");
     with_long_timeouts(&config_of_version(version, repeats, 2, false)).with_accounts(accounts)
 }
 
@@ -31,13 +31,13 @@
     (start(Some(config), entries, ample_budget()).await, upstream)
 }
 
-fn well() -> Vec<Step> {
+fn success() -> Vec<Step> {
     vec![signed("200 OK", "well")]
 }
 
-/// A caller without a good key is served, or an upstream gets its request.
+/// Guards against service to a caller without a valid key, and against its request at an upstream.
 #[tokio::test]
-async fn verify_only_good_keys_are_served() {
+async fn verify_only_valid_keys_are_served() {
     let long = format!("Authorization: Bearer {}\r\n", "k".repeat(1_500));
     let cases = [
         ("", 401),
@@ -54,7 +54,7 @@
     ];
     for (headers, expected) in cases {
         let (front, upstream) =
-            front_of(keyed(1, Repeats::Idempotent, &["good-key"]), well()).await;
+            front_of(config_with_keys(1, Repeats::Idempotent, &["good-key"]), success()).await;
 
         let answer = front.post("r1", headers, "body").await;
 
@@ -64,10 +64,11 @@
     }
 }
 
-/// A key of a megabyte is hashed, or kept.
+/// Guards against a key of 1 MiB that is hashed or stored.
 #[tokio::test]
 async fn verify_a_huge_key_is_refused_by_its_size() {
-    let (front, upstream) = front_of(keyed(1, Repeats::Idempotent, &["good-key"]), well()).await;
+    let (front, upstream) =
+        front_of(config_with_keys(1, Repeats::Idempotent, &["good-key"]), success()).await;
 
     let header = format!("Authorization: Bearer {}\r\n", "k".repeat(1 << 20));
     let answer = front.post("r1", &header, "body").await;
@@ -75,10 +76,11 @@
     assert!(answer.status != 200 && upstream.received().is_empty(), "{}", answer.status);
 }
 
-/// An upstream learns a caller's key, or believes the account that a caller names itself.
+/// Guards against an upstream that receives a caller's key, or an account name set by the caller.
 #[tokio::test]
 async fn verify_upstreams_get_the_account_and_no_key() {
-    let (front, upstream) = front_of(keyed(1, Repeats::AtMostOnce, &["good-key"]), well()).await;
+    let (front, upstream) =
+        front_of(config_with_keys(1, Repeats::AtMostOnce, &["good-key"]), success()).await;
 
     front.post("r1", &format!("{GOOD}T-Account: other\r\n"), "").await;
 
@@ -87,15 +89,15 @@
     assert!(!received.headers.iter().any(|line| line.contains("good-key")), "{received:?}");
 }
 
-/// A public route asks for a key, or an upstream gets one there.
+/// Guards against a public route that requires a key, or forwards one to an upstream.
 #[tokio::test]
-async fn verify_public_routes_need_no_key_and_pass_none_on() {
-    let config = keyed(1, Repeats::Idempotent, &["good-key"]);
+async fn verify_public_routes_need_no_key_and_forward_none() {
+    let config = config_with_keys(1, Repeats::Idempotent, &["good-key"]);
     let accounts = config.accounts().expect("accounts").clone();
     let public = Route { is_public: true, ..route(Repeats::Idempotent, 2) };
     let services = config.services().cloned().collect();
     let public = Config::new(1, limits(), services, vec![public]).with_accounts(accounts);
-    let (front, upstream) = front_of(public, well()).await;
+    let (front, upstream) = front_of(public, success()).await;
 
     let cases = [("", None), (GOOD, Some("kitchen")), ("Authorization: Bearer bad\r\n", None)];
     for (at, (headers, account)) in cases.into_iter().enumerate() {
@@ -106,11 +108,11 @@
     }
 }
 
-/// Credentials that the gateway knows nothing of are lost on their way to an upstream.
+/// Guards against the loss of credentials for an upstream where the gateway has no accounts.
 #[tokio::test]
-async fn verify_credentials_are_passed_on_where_there_are_no_accounts() {
+async fn verify_credentials_are_forwarded_without_accounts() {
     let config = config_of_version(1, Repeats::Idempotent, 2, false);
-    let (front, upstream) = front_of(config, well()).await;
+    let (front, upstream) = front_of(config, success()).await;
 
     front.post("r1", &format!("{GOOD}T-Account: other\r\n"), "").await;
 
@@ -118,10 +120,11 @@
     assert_eq!(upstream.received()[0].header("t-account"), None);
 }
 
-/// A withdrawn key is served on a connection that was open before.
+/// Guards against service for a withdrawn key on a connection that was opened before.
 #[tokio::test]
 async fn verify_a_key_is_withdrawn_on_open_connections() {
-    let (front, upstream) = front_of(keyed(1, Repeats::Idempotent, &["good-key"]), well()).await;
+    let (front, upstream) =
+        front_of(config_with_keys(1, Repeats::Idempotent, &["good-key"]), success()).await;
     let mut stream = TcpStream::connect(front.address).await.expect("the front listens");
     let first = request("r1", GOOD, "").replace("Connection: close\r\n", "");
     stream.write_all(first.as_bytes()).await.expect("the front reads");
@@ -129,7 +132,7 @@
     let len = stream.read(&mut buf).await.expect("an answer");
     assert!(buf[..len].starts_with(b"HTTP/1.1 200"));
 
-    front.gateway.adopt_config(keyed(2, Repeats::Idempotent, &["new-key"]));
+    front.gateway.adopt_config(config_with_keys(2, Repeats::Idempotent, &["new-key"]));
     stream.write_all(request("r2", GOOD, "").as_bytes()).await.expect("the front reads");
     let mut rest = Vec::new();
     let _ = stream.read_to_end(&mut rest).await;
@@ -139,22 +142,22 @@
     assert_eq!(upstream.received().len(), 1);
 }
 
-/// A request is sent on a second time though its key was withdrawn meanwhile.
+/// Guards against a retry of a request whose key was withdrawn during the first attempt.
 #[tokio::test]
-async fn verify_a_key_is_asked_again_before_a_second_try() {
+async fn verify_a_key_is_checked_again_before_a_retry() {
     let is_withdrawn = Arc::new(Notify::new());
     let failing = Upstream::always(vec![Step::Await(Arc::clone(&is_withdrawn)), Step::Close]).await;
-    let second = Upstream::always(well()).await;
+    let second = Upstream::always(success()).await;
     let mut far = entry("second", second.address.port());
     far.zone = "zone-b".into();
     let entries = vec![entry("first", failing.address.port()), far];
-    let config = keyed(1, Repeats::Idempotent, &["good-key"]);
+    let config = config_with_keys(1, Repeats::Idempotent, &["good-key"]);
     let front = start(Some(config), entries, ample_budget()).await;
 
     let asking = front.post("r1", GOOD, "");
     let withdrawing = async {
         support::until(|| !failing.received().is_empty()).await;
-        front.gateway.adopt_config(keyed(2, Repeats::Idempotent, &[]));
+        front.gateway.adopt_config(config_with_keys(2, Repeats::Idempotent, &[]));
         is_withdrawn.notify_one();
     };
     let (answer, ()) = tokio::join!(asking, withdrawing);
