--- a/crates/anvilhook-gateway/tests/leaving.rs
+++ b/crates/anvilhook-gateway/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Upstreams that say in their answers that they leave.
+//! Upstreams that indicate in their answers that they are leaving.
 
 mod support;
 
@@ -22,7 +22,7 @@
 const ONCE: Repeats = Repeats::Stream { resumable: false };
 const PROMPT: &str = "T-Tokens: 100\r\n";
 
-/// Returns an answer that says that its upstream leaves, with other header lines.
+/// Returns an answer that indicates that its upstream is leaving, with further header lines.
 fn leaving(status: &str, headers: &str, body: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 {status}\r\nT-Id: {{id}}\r\nT-Leaving: 1\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -38,9 +38,10 @@
     front.gateway.fleet().takes_work(id, Millis::ZERO)
 }
 
-/// An answer tells that its upstream leaves, the list can't show it, and the upstream gets work for as long.
+/// Guards against work for an upstream that indicates in an answer that it is leaving, while the upstream
+/// table does not show it yet.
 #[tokio::test]
-async fn verify_whatever_answer_tells_of_leaving_is_heard() {
+async fn verify_leaving_is_recognized_in_any_answer() {
     let cases = [
         ("whole", leaving("200 OK", "T-Signature: s\r\n", "fine")),
         ("failed", leaving("500 Error", "T-Signature: s\r\n", "")),
@@ -64,9 +65,10 @@
     }
 }
 
-/// The head of a stream, an answer to a read prompt or to an instance's own call tells it too.
+/// Guards against the same where the head of a stream, the answer to a prefill, or the answer to an
+/// instance's own call indicates it.
 #[tokio::test]
-async fn verify_engines_tell_of_leaving_at_any_stage() {
+async fn verify_leaving_is_recognized_at_any_stage() {
     let head = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\nT-Leaving: 1\r\n\
                 Transfer-Encoding: chunked\r\n\r\n";
     let steps = vec![Step::Write(head.to_owned()), event(1), stream_end()];
@@ -80,7 +82,7 @@
     let cases = [
         ("stream", vec![engine("e", &streaming, Role::Decode)]),
         (
-            "reading",
+            "prefill",
             vec![
                 engine("e", &reading, Role::Prefill),
                 engine("g", &Upstream::always(stream(1, 1)).await, Role::Decode),
@@ -101,9 +103,10 @@
     }
 }
 
-/// A list, a lapse of the entry, or a late word brings a leaving upstream back.
+/// Guards against a leaving upstream that gets work again after its entry is read again or lapses, or after
+/// a late report.
 #[tokio::test]
-async fn verify_only_a_later_start_takes_leaving_back() {
+async fn verify_only_a_restart_ends_leaving() {
     let upstream = Upstream::always(vec![leaving("200 OK", "T-Signature: s\r\n", "")]).await;
     let listed = Entry { born: Some(5), ..entry("a", upstream.address.port()) };
     let front = front_before(Repeats::AtMostOnce, false, vec![listed.clone()]).await;
@@ -118,14 +121,14 @@
     assert!(!adopt(vec![later.clone()]), "a later report");
     assert!(!adopt(vec![]), "lapsed");
     assert!(!adopt(vec![entry("b", 1)]), "another one is listed");
-    assert!(!adopt(vec![later.clone()]), "back after its lapse");
+    assert!(!adopt(vec![later.clone()]), "listed again after its lapse");
 
-    assert!(adopt(vec![Entry { born: Some(6), ..later }]), "started again");
+    assert!(adopt(vec![Entry { born: Some(6), ..later }]), "restarted");
 }
 
-/// One instance knows that an upstream leaves, and the others send on.
+/// Guards against requests from other instances after one instance knows that an upstream is leaving.
 #[tokio::test]
-async fn verify_the_others_are_told_of_leaving() {
+async fn verify_leaving_is_published_to_peers() {
     let upstream = Upstream::always(vec![leaving("200 OK", "T-Signature: s\r\n", "")]).await;
     let clock = SystemClock::new();
     let config = config(Repeats::AtMostOnce, 1, false);
@@ -141,18 +144,19 @@
 
     let mut buf = [0; 2_000];
     let is_leaving = |notice: &Notice| notice.kind == NoticeKind::Leaving;
-    let mut told = None;
-    while told.is_none() {
+    let mut published = None;
+    while published.is_none() {
         let len = other.recv(&mut buf).await.expect("loopback");
         let digest: Digest = postcard::from_bytes(&buf[..len]).expect("a digest");
-        told = digest.notices.into_iter().find(is_leaving).map(|notice| notice.engine);
+        published = digest.notices.into_iter().find(is_leaving).map(|notice| notice.engine);
     }
-    assert_eq!(told, Some(engine_of(&front, "a")));
+    assert_eq!(published, Some(engine_of(&front, "a")));
 }
 
-/// An instance hears of an upstream's leaving and sends on, as its own list doesn't show it.
+/// Guards against an instance that receives a peer's notice that an upstream is leaving, and still sends
+/// requests to it because its own upstream table does not show it.
 #[tokio::test]
-async fn verify_leaving_is_believed_of_another_instance() {
+async fn verify_a_peers_notice_of_leaving_is_applied() {
     let clock = SystemClock::new();
     let config = config(Repeats::AtMostOnce, 1, false);
     let front = start_with_clock(clock, Some(config), vec![entry("b", 1)], ample_budget()).await;
@@ -174,11 +178,12 @@
     front.gateway.fleet().view().get(id).expect("listed").digest
 }
 
-/// A prompt is read elsewhere meanwhile, and its output is generated at an engine that has begun to leave.
+/// Guards against generation at an engine that began to leave while another engine read the prompt
+/// (prefill).
 #[tokio::test]
-async fn verify_what_was_read_apart_goes_to_no_leaving_engine() {
-    let told = Arc::new(Notify::new());
-    let steps = vec![Step::Await(Arc::clone(&told)), signed("200 OK", "handle h")];
+async fn verify_no_leaving_engine_generates_after_a_separate_prefill() {
+    let is_marked = Arc::new(Notify::new());
+    let steps = vec![Step::Await(Arc::clone(&is_marked)), signed("200 OK", "handle h")];
     let reader = Upstream::always(steps).await;
     let near = Upstream::always(stream(1, 2)).await;
     let far = Upstream::always(stream(1, 3)).await;
@@ -188,14 +193,14 @@
         Entry { zone: "zone-b".into(), ..engine("far", &far, Role::Decode) },
     ];
     let front = front_before(ONCE, true, entries).await;
-    let telling = async {
+    let marking = async {
         until(|| !reader.received().is_empty()).await;
         let view = front.gateway.fleet().view();
         view.get("near").expect("listed").state.mark_leaving(true, Millis(1));
-        told.notify_one();
+        is_marked.notify_one();
     };
 
-    let (answer, ()) = tokio::join!(front.post("r1", PROMPT, ""), telling);
+    let (answer, ()) = tokio::join!(front.post("r1", PROMPT, ""), marking);
 
     assert_eq!(answer.events(), [1, 2, 3]);
     assert!(near.received().is_empty());
--- a/crates/anvilhook-gateway/tests/metrics.rs
+++ b/crates/anvilhook-gateway/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What an instance tells of itself on its metrics address.
+//! The metrics that an instance exports.
 
 mod support;
 
@@ -13,11 +13,11 @@
 use support::tables::{Fault, MemoryTable};
 use support::wires::entry;
 
-/// Symptom: nobody can tell from outside whether a service's queue grows.
-/// Sequence: two upstreams of a service have work, of this instance and of a peer.
-/// Cause: the estimates are summed over the service's upstreams, beside the places there are.
+/// Symptom: the metrics do not show whether a service's queue grows.
+/// Sequence: two upstreams of a service have work, one from this instance and one from a peer.
+/// Cause: the estimates must be summed over the service's upstreams and exported with its slots.
 #[test]
-fn verify_a_services_queue_and_batch_are_told() {
+fn verify_a_services_queue_and_slots_are_exported() {
     let clock = SystemClock::new();
     let entries = vec![entry("u1", 1), entry("u2", 2)];
     let config = config(Repeats::Idempotent, 2, true);
@@ -43,11 +43,11 @@
     assert_eq!(gateway.metrics().source_age("config", Millis::ZERO), None);
 }
 
-/// Symptom: the price of the calls to the table is seen, and nobody can tell what they are for.
-/// Sequence: calls of each kind, to two tables, one of them away.
-/// Cause: each call is counted by table, kind and end.
+/// Symptom: the metrics show the cost of calls to the tables, but not their purpose.
+/// Sequence: calls of each kind go to two tables, one of which is unavailable.
+/// Cause: each call must be counted by table, kind and outcome.
 #[tokio::test]
-async fn verify_calls_to_tables_are_counted_by_what_they_are_for() {
+async fn verify_calls_to_tables_are_counted_by_purpose() {
     let gateway = gateway(SystemClock::new(), None, Vec::new(), ample_budget());
     let inner = MemoryTable::default();
     let table = CountedTable::new(inner.clone(), gateway.metrics().table_calls.clone());
@@ -57,7 +57,7 @@
     table.changes("upstreams", 0, Millis::ZERO).await.expect("it answers");
     inner.set_fault(Fault::Unavailable);
     let write = Write { key: "roles".to_owned(), expected: 0, value: "one".into() };
-    table.write("leases", write).await.expect_err("it is away");
+    table.write("leases", write).await.expect_err("it is unavailable");
 
     let text = gateway.metrics_text();
     for (table, call, outcome) in [
@@ -71,11 +71,11 @@
     }
 }
 
-/// Symptom: digests fill a narrow link, and nobody can tell which of their news do.
+/// Symptom: digests fill a narrow link, and the metrics do not show which sections do.
 /// Sequence: digests of two scopes are sent, one of them to three peers.
-/// Cause: bytes are counted by scope and section, and add up to the whole.
+/// Cause: bytes must be counted by scope and section, and add up to all bytes sent.
 #[test]
-fn verify_bytes_of_digests_are_counted_by_what_they_tell() {
+fn verify_bytes_of_digests_are_counted_by_section() {
     let gateway = gateway(SystemClock::new(), None, Vec::new(), ample_budget());
     let cached = vec![CachedPrompt { engine: 1, parts: vec![(2, 3)], own_tokens: 4 }];
     let notices = vec![Notice { engine: 1, kind: NoticeKind::Gone }];
--- a/crates/anvilhook-gateway/tests/pauses.rs
+++ b/crates/anvilhook-gateway/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Upstreams that refuse requests and say when they want the next one.
+//! Upstreams that refuse requests and indicate when they accept the next one.
 
 mod support;
 
@@ -32,9 +32,9 @@
     start_with_clock(clock.clone(), Some(config), entries, ample_budget()).await
 }
 
-/// An upstream that sheds load asks for a pause, and gets each next request all the same.
+/// Guards against further requests to an upstream that sheds load and has asked for a pause.
 #[tokio::test]
-async fn verify_a_pause_is_kept_to_its_end() {
+async fn verify_a_pause_is_respected_to_its_end() {
     let clock = ManualClock::new();
     clock.advance(Millis(1_000));
     let shedding = Upstream::always(vec![pause("2")]).await;
@@ -48,20 +48,20 @@
         shedding.received().len()
     };
 
-    assert_eq!(ask("r1").await, 1, "the one by which it is learnt");
-    // Neither a lapse of its ejection nor a younger report of its load shortens the pause.
+    assert_eq!(ask("r1").await, 1, "the request whose refusal asks for the pause");
+    // A recorded success, which ends an ejection, does not shorten the pause.
     let view = front.gateway.fleet().view();
     view.get("near").expect("listed").state.ejection().record_success(clock.now());
     clock.advance(Millis(1_999));
-    assert_eq!(ask("r2").await, 1, "in the pause");
+    assert_eq!(ask("r2").await, 1, "during the pause");
     clock.advance(Millis(2));
-    assert_eq!(ask("r3").await, 2, "after it");
+    assert_eq!(ask("r3").await, 2, "after the pause");
 }
 
-/// A later start of an upstream is left alone for a pause that the earlier one has asked for, or the list
-/// ends a pause.
+/// Guards against a pause that outlasts a restart of its upstream, and against one that ends when the
+/// upstream is listed again.
 #[tokio::test]
-async fn verify_only_a_later_start_ends_a_pause() {
+async fn verify_only_a_restart_ends_a_pause() {
     let clock = ManualClock::new();
     let shedding = Upstream::always(vec![pause("60")]).await;
     let listed = Entry { born: Some(5), ..entry("a", shedding.address.port()) };
@@ -77,9 +77,9 @@
     assert!(adopt(Entry { born: Some(6), ..listed }));
 }
 
-/// All upstreams wish for a pause, and callers come back before the first of them is over.
+/// Guards against callers that retry before the first pause ends when all upstreams have asked for one.
 #[tokio::test]
-async fn verify_callers_are_told_the_soonest_end_of_all_pauses() {
+async fn verify_callers_get_the_earliest_end_of_all_pauses() {
     let clock = ManualClock::new();
     let first = Upstream::always(vec![pause("9")]).await;
     let second = Upstream::always(vec![pause("4")]).await;
@@ -99,12 +99,13 @@
     }
 }
 
-/// A pause that can't be read stops an upstream's work for ever, or one without a refusal for a while.
+/// Guards against an unreadable pause that stops an upstream's work for ever, and against a pause after an
+/// answer that is no refusal.
 #[tokio::test]
-async fn verify_what_asks_for_no_pause_is_none() {
-    let unasked = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\nRetry-After: 60\r\n\
+async fn verify_unreadable_pauses_and_pauses_without_refusal_are_ignored() {
+    let without_refusal = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\nRetry-After: 60\r\n\
                    Content-Length: 0\r\n\r\n";
-    let cases = [pause("soon"), pause("-5"), pause(""), Step::Write(unasked.to_owned())];
+    let cases = [pause("soon"), pause("-5"), pause(""), Step::Write(without_refusal.to_owned())];
     for step in cases {
         let upstream = Upstream::always(vec![step]).await;
         let entries = vec![entry("a", upstream.address.port())];
@@ -118,9 +119,10 @@
     }
 }
 
-/// A call of the instance's own reaches an engine in its pause, or its stream is given up for want of one.
+/// Guards against an instance's own call to a paused engine, and against the loss of a stream because that
+/// call is not made.
 #[tokio::test]
-async fn verify_own_calls_keep_a_pause_and_streams_outlast_it() {
+async fn verify_own_calls_respect_a_pause_and_streams_outlast_it() {
     let clock = ManualClock::new();
     let mut steps = stream(1, 2);
     steps.insert(2, Step::Pause(2_500));
@@ -144,9 +146,9 @@
     assert_eq!(engines[0].received().len(), 1);
 }
 
-/// An instance asks an engine what its cache holds, though the engine wants nothing of it.
+/// Guards against a request for the cache contents of a paused engine.
 #[tokio::test]
-async fn verify_a_call_of_the_instances_own_keeps_a_pause() {
+async fn verify_requests_for_cache_contents_respect_a_pause() {
     let clock = ManualClock::new();
     let paused = Upstream::always(vec![signed("200 OK", "")]).await;
     let other = Upstream::always(vec![signed("200 OK", "")]).await;
--- a/crates/anvilhook-gateway/tests/peers.rs
+++ b/crates/anvilhook-gateway/tests/peers.rs
@@ -1,4 +1,4 @@
-//! What instances tell each other, over real datagrams.
+//! Gossip between instances, over real datagrams.
 
 mod support;
 
@@ -35,14 +35,14 @@
 
 const SHARED: Part = Part { id: 77, tokens: 5_000 };
 
-/// `Instance` is a gateway with its link to others.
+/// `Instance` is a gateway with its link to its peers.
 struct Instance {
     gateway: Gateway<TestWire, TimerClock>,
     address: SocketAddr,
     clock: TimerClock,
 }
 
-/// Starts an instance that knows the engine `e0` and the given others.
+/// Starts an instance that knows the engine `e0` and the given peers.
 async fn instance(number: u64, engine_port: u16, others: &[SocketAddr]) -> Instance {
     let clock = TimerClock::new();
     let engine = Entry { role: Some(Role::Prefill), ..entry("e0", engine_port) };
@@ -67,8 +67,9 @@
     }
 }
 
-/// Starts an instance that tells so many others, more than one digest without great news goes to.
-async fn instance_among(others: usize) -> (Instance, Vec<UdpSocket>) {
+/// Starts an instance that has the given number of peers. In the tests these are more than a digest without
+/// a significant change is sent to.
+async fn instance_with_peers(others: usize) -> (Instance, Vec<UdpSocket>) {
     let mut sockets = Vec::new();
     for _ in 0..others {
         sockets.push(UdpSocket::bind("127.0.0.1:0").await.expect("a port"));
@@ -79,9 +80,9 @@
 }
 
 /// Waits for a digest of the wanted kind, and fails if none comes.
-async fn hear(socket: &UdpSocket, is_wanted: impl Fn(&Digest) -> bool) -> Digest {
+async fn receive(socket: &UdpSocket, is_wanted: impl Fn(&Digest) -> bool) -> Digest {
     let mut buf = [0; 2_000];
-    let hearing = async {
+    let receiving = async {
         loop {
             let len = socket.recv(&mut buf).await.expect("loopback");
             let digest = postcard::from_bytes(&buf[..len]).expect("a digest");
@@ -90,14 +91,14 @@
             }
         }
     };
-    tokio::time::timeout(Duration::from_secs(5), hearing).await.expect("it is told")
+    tokio::time::timeout(Duration::from_secs(5), receiving).await.expect("a wanted digest arrives")
 }
 
-/// Symptom: instances send their prompts to the same engine, which each takes for idle.
-/// Sequence: one instance has work in flight; then it has none.
-/// Cause: each knows its own work; the digests tell the others', and rubbish changes nothing.
+/// Symptom: all instances send their prompts to the same engine, which each assumes to be idle.
+/// Sequence: one instance has work in flight, then none; a datagram of invalid bytes arrives as well.
+/// Cause: an instance knows only its own work, and must learn that of others from digests.
 #[tokio::test]
-async fn verify_loads_are_heard_and_end() {
+async fn verify_loads_are_received_and_end() {
     let one = instance(1, 1, &[]).await;
     let two = instance(2, 1, &[one.address]).await;
     let rubbish = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
@@ -115,7 +116,7 @@
         seen.in_flight == 1
     })
     .await;
-    // What was heard fades, for 400 ms at most; then it is not believed at all.
+    // A received load decreases with time, and after 400 ms it is no longer used.
     assert!((9_600.0..=10_000.0).contains(&seen.reading_ms), "{seen:?}");
     drop(held);
 
@@ -123,11 +124,11 @@
     assert_eq!(two.gateway.peers().live_peers(Millis::ZERO), 1);
 }
 
-/// Symptom: a new instance has every shared part read again that it meets.
-/// Sequence: it starts beside one that has long served, whichever of them acts for all.
-/// Cause: it is told what the caches hold as soon as it is heard.
+/// Symptom: a new instance has every shared part read (prefill) again.
+/// Sequence: it starts while another instance has been serving for long; either may have the lower number.
+/// Cause: as soon as a new instance is seen, a peer must send it the contents of the caches.
 #[tokio::test]
-async fn verify_a_new_instance_is_told_of_the_caches() {
+async fn verify_a_new_instance_receives_the_cache_contents() {
     for (old_number, new_number) in [(1, 2), (2, 1)] {
         let old = instance(old_number, 1, &[]).await;
         old.gateway.caches().record(&Arc::from("e0"), &[SHARED], 100_000);
@@ -138,12 +139,12 @@
     }
 }
 
-/// Symptom: shared parts are read again and again, and prompts wait at engines that are taken for idle.
-/// Sequence: more instances run than one digest goes to; an engine has read a part.
-/// Cause: what is told once must go to all, or whoever was left out never learns of it.
+/// Symptom: shared parts are read again and again, and prompts wait at engines assumed to be idle.
+/// Sequence: there are more instances than one digest is sent to; an engine has read a part.
+/// Cause: an update that is published once must go to all instances, or some never receive it.
 #[tokio::test]
-async fn verify_great_news_reaches_every_instance() {
-    let (one, others) = instance_among(30).await;
+async fn verify_significant_changes_reach_every_instance() {
+    let (one, others) = instance_with_peers(30).await;
     let config = one.gateway.config().expect("it has one");
     let service = config.service("service").expect("declared");
 
@@ -151,18 +152,18 @@
     one.gateway.record_cached(&Arc::from("e0"), &[SHARED], engine);
 
     for other in &others {
-        let digest = hear(other, |digest| !digest.cached.is_empty()).await;
+        let digest = receive(other, |digest| !digest.cached.is_empty()).await;
         assert_eq!(digest.cached[0].parts, [(SHARED.id, SHARED.tokens)]);
     }
 }
 
-/// Symptom: half of what instances send each other are loads that have not changed, and sums of work.
-/// Sequence: an instance has work at twelve engines, and more and more of it at one of them.
-/// Cause: each digest named all of them. Those that stay must be believed all the same.
+/// Symptom: half of the bytes between instances are unchanged loads and sums of work.
+/// Sequence: an instance has work at twelve engines, and ever more of it at one of them.
+/// Cause: each digest contained all loads. Peers must retain unchanged loads that are not resent.
 #[tokio::test(start_paused = true)]
-async fn verify_loads_that_stay_are_told_once_in_a_while_and_believed() {
+async fn verify_unchanged_loads_are_resent_periodically_and_retained() {
     const ENGINES: usize = 12;
-    let (one, others) = instance_among(30).await;
+    let (one, others) = instance_with_peers(30).await;
     let two = instance(2, 1, &[one.address]).await;
     let entries = || {
         let ids = (0..ENGINES).map(|at| format!("e{at}"));
@@ -191,7 +192,7 @@
         more.push(work_at(0, 1_000.0));
         one.gateway.peers().announce();
         until(|| seen_by_two(0) == turn).await;
-        assert!((1..ENGINES).all(|at| seen_by_two(at) == 1), "loads that stay are believed");
+        assert!((1..ENGINES).all(|at| seen_by_two(at) == 1), "unchanged loads are retained");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 
@@ -202,22 +203,23 @@
         with_work += usize::from(!digest.work.is_empty());
     }
     assert!(loads < digests * ENGINES / 2, "{loads} loads in {digests} digests");
-    // It is a sum since the start, so that nothing is lost with those that don't tell it.
-    assert!((1..digests / 2).contains(&with_work), "{with_work} of {digests} tell of work");
+    // The work is a sum since the start, so digests without it lose nothing.
+    assert!((1..digests / 2).contains(&with_work), "{with_work} of {digests} digests have work");
 }
 
-/// Symptom: a hundred instances fill their links with digests, and take engines for away for ever.
-/// Sequence: an engine is said to change its role, by another instance or by this one's own order.
-/// Cause: what others know must not be told on; what this one knows is told to all.
+/// Symptom: a hundred instances fill their links with digests, and assume for ever that engines accept no
+/// work.
+/// Sequence: an engine is reported to change its role, by a peer or because of this instance's own order.
+/// Cause: an instance must publish its own findings to all, but must not forward those of its peers.
 #[tokio::test]
-async fn verify_an_engine_that_is_away_is_told_of_by_who_knows_it() {
-    let (one, others) = instance_among(30).await;
+async fn verify_only_own_findings_about_unavailable_engines_are_published() {
+    let (one, others) = instance_with_peers(30).await;
     let state = Arc::clone(&one.gateway.fleet().view().get("e0").expect("listed").state);
     let engine = entry("e0", 1).digest();
     let kind = NoticeKind::Away { left_ms: 60_000 };
     let notices = vec![Notice { engine, kind }];
-    let heard = Digest { from: 9, notices, ..Digest::default() };
-    let bytes = postcard::to_stdvec(&heard).expect("it can be written");
+    let digest = Digest { from: 9, notices, ..Digest::default() };
+    let bytes = postcard::to_stdvec(&digest).expect("it can be written");
     let now = || anvilhook_core::units::Clock::now(&one.clock);
 
     others[0].send_to(&bytes, one.address).await.expect("loopback");
@@ -226,16 +228,16 @@
 
     state.mark_own_away(now() + Millis(60_000));
     for other in &others {
-        hear(other, |digest| !digest.notices.is_empty()).await;
+        receive(other, |digest| !digest.notices.is_empty()).await;
     }
 }
 
-/// Symptom: each instance finds out by itself, at the cost of a request, that an engine has crashed.
-/// Sequence: one instance meets a host that refuses connections, an engine of the other role, or another
-/// engine at the address.
-/// Cause: what one instance finds out for certain is told to all, who act by it and do not tell it on.
+/// Symptom: each instance loses a request before it knows that an engine has crashed.
+/// Sequence: one instance finds that a host refuses connections, that an engine has the other role, or that
+/// another engine runs at the address.
+/// Cause: certain findings of one instance must be published to all, which apply but do not forward them.
 #[tokio::test]
-async fn verify_what_one_instance_finds_out_of_an_engine_is_told_to_all() {
+async fn verify_findings_about_an_engine_are_published_to_all() {
     let one = instance(1, 1, &[]).await;
     let two = instance(2, 1, &[one.address]).await;
     let engine_of = |instance: &Instance| {
@@ -252,17 +254,17 @@
     found.state.mark_gone(true);
     until(|| engine_of(&two).state.is_gone()).await;
 
-    let told_on = engine_of(&two);
-    assert_eq!(told_on.state.own_closed_until(), Millis::ZERO);
-    assert!(!told_on.state.is_observed_gone());
-    assert!(told_on.state.observed_role(1).is_some_and(|shown| !shown.is_own));
+    let received = engine_of(&two);
+    assert_eq!(received.state.own_closed_until(), Millis::ZERO);
+    assert!(!received.state.is_observed_gone());
+    assert!(received.state.observed_role(1).is_some_and(|shown| !shown.is_own));
 }
 
-/// Symptom: an engine that fails each request at once draws ever more of them, of every instance.
-/// Sequence: three instances get errors of one engine; one alone gets some of another.
-/// Cause: several that agree have all leave the engine alone.
+/// Symptom: an engine that fails each request at once attracts ever more requests from every instance.
+/// Sequence: three instances receive errors from one engine; only one receives an error from another.
+/// Cause: once several instances have received errors from an engine, all must stop using it.
 #[tokio::test]
-async fn verify_engines_whose_errors_several_instances_get_are_left_alone_by_all() {
+async fn verify_all_instances_avoid_engines_that_fail_for_several() {
     let mut all = vec![instance(1, 1, &[]).await];
     for number in 2..=4 {
         let known: Vec<SocketAddr> = all.iter().map(|one| one.address).collect();
@@ -289,9 +291,9 @@
     assert!(all.iter().all(|one| is_healthy(one, "e1")));
 }
 
-/// Symptom: after the loss of all instances, prompts are taken for cold and refused as overload.
-/// Sequence: all start anew; the engines still hold what they had read.
-/// Cause: one instance asks the engines once, and tells the others.
+/// Symptom: after the loss of all instances, prompts are assumed to be uncached and refused as overload.
+/// Sequence: all instances restart, while the engines still have their caches.
+/// Cause: one instance must ask the engines once, and send the result to its peers.
 #[tokio::test]
 async fn verify_after_the_loss_of_all_one_instance_asks_the_engines() {
     let engine = Upstream::always(vec![signed("200 OK", "77")]).await;
@@ -306,18 +308,17 @@
     assert_eq!(engine.received().len(), 1);
 }
 
-/// Symptom: after the loss of all instances requests reach engines a second and a half late, and for
-/// callers that have left.
-/// Sequence: one of many instances asks the engines what they hold, and tells each other one.
-/// Cause: most of what caches hold is prompts' own parts. They are of no use to others, and telling
-/// them filled the link.
+/// Symptom: after the loss of all instances, requests reach engines 1.5 s late, and for callers that have
+/// left.
+/// Sequence: one of many instances asks the engines for their cache contents, and sends them to each peer.
+/// Cause: most cached parts belong to one prompt only. They are of no use to peers, and filled the link.
 #[tokio::test]
-async fn verify_among_many_only_parts_that_are_shared_are_told() {
+async fn verify_only_shared_parts_are_sent_to_many_peers() {
     let caches = [
         Upstream::always(vec![signed("200 OK", "77 88")]).await,
         Upstream::always(vec![signed("200 OK", "77 99")]).await,
     ];
-    let (one, others) = instance_among(30).await;
+    let (one, others) = instance_with_peers(30).await;
     let ids = ["e0", "e1"];
     one.gateway.adopt_entries(
         ids.iter().zip(&caches).map(|(id, cache)| Entry {
@@ -335,13 +336,13 @@
     };
     assert!(ids.iter().all(|engine| holds(engine, 77)));
     assert!(!holds("e0", 88) && !holds("e1", 99));
-    let told = hear(&others[0], |digest| !digest.cached.is_empty()).await;
-    assert!(told.cached.iter().all(|cached| cached.parts == [(77, 5_000)]), "{told:?}");
+    let digest = receive(&others[0], |digest| !digest.cached.is_empty()).await;
+    assert!(digest.cached.iter().all(|cached| cached.parts == [(77, 5_000)]), "{digest:?}");
 }
 
 /// Symptom: instances do not find each other.
-/// Sequence: they register while the table is away, and again at another address.
-/// Cause: each goes on until its row is written and the others' rows are read.
+/// Sequence: an instance registers while the table is unavailable, over an invalid row of its own name.
+/// Cause: it must retry until its row is written and the rows of its peers are read.
 #[tokio::test]
 async fn verify_instances_find_each_other_by_the_table() {
     let table = MemoryTable::default();
@@ -363,12 +364,12 @@
 }
 
 /// Symptom: the retries of all instances together exceed their bound.
-/// Sequence: 68 instances are listed, and each has as much to send again as it may; none hears
-/// another.
-/// Cause: the part of the budget that no request earns must be divided by the instances there are,
-/// and by more as long as nobody knows how many.
+/// Sequence: 68 instances are listed. Each makes as many retries as it may, and receives nothing from the
+/// others.
+/// Cause: the part of the budget that no request earns must be divided by the number of instances, and by
+/// more while that number is unknown.
 #[tokio::test]
-async fn verify_the_budget_holds_over_all_instances_with_peers_unheard() {
+async fn verify_the_budget_holds_over_all_instances_without_digests() {
     const INSTANCES: u16 = 68;
     let service: Arc<str> = Arc::from("service");
     let options = BudgetOptions { share: 0.2, spare: 80.0, window: Millis(10_000) };
@@ -385,7 +386,7 @@
     let mut taken = 0;
     for number in 0..INSTANCES {
         let peers = Arc::new(Peers::default());
-        assert!(taken_by(&peers) <= 3, "before the table was read");
+        assert!(taken_by(&peers) <= 3, "before the table has been read");
         register(table.clone(), format!("{number}"), address(number), Arc::clone(&peers)).await;
         taken += taken_by(&peers);
     }
@@ -393,8 +394,8 @@
     assert!((68..=80).contains(&taken), "{taken} of 80 taken");
 }
 
-/// Returns digests of every kind of content, as they are sent.
-fn sound_digests(engine: u32) -> Vec<Vec<u8>> {
+/// Returns the bytes of valid digests with every kind of content.
+fn valid_digests(engine: u32) -> Vec<Vec<u8>> {
     let load = EngineLoad { engine, in_flight: 3, reading_ms: 40, fetching_ms: 5 };
     let cached = CachedPrompt { engine, parts: vec![(7, 5_000)], own_tokens: 300 };
     let notice = Notice { engine, kind: NoticeKind::Away { left_ms: 300 } };
@@ -418,27 +419,27 @@
     digests.iter().map(|digest| postcard::to_stdvec(digest).expect("it can be written")).collect()
 }
 
-/// Symptom: an instance ends by itself, or believes in work without end.
-/// Sequence: datagrams come that no instance sent: cut, flipped, doubled, or of random bytes.
-/// Cause: what can't be read is dropped, and what can be read is a hint that fades.
+/// Symptom: an instance terminates, or assumes for ever that an engine has work.
+/// Sequence: datagrams arrive that no instance sent: truncated, or with flipped, set or inserted bytes.
+/// Cause: unreadable datagrams must be dropped, and the contents of readable ones must expire.
 #[tokio::test]
 async fn verify_no_datagrams_harm_an_instance() {
     const DATAGRAMS: usize = 3_000;
     let one = instance(1, 1, &[]).await;
     let engine = Arc::clone(one.gateway.fleet().view().get("e0").expect("listed"));
-    let sound = sound_digests(engine.digest);
+    let valid = valid_digests(engine.digest);
     let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let mut rng = ChaCha8Rng::seed_from_u64(11);
 
     for at in 0..DATAGRAMS {
-        let mut bytes = sound[rng.random_range(0..sound.len())].clone();
+        let mut bytes = valid[rng.random_range(0..valid.len())].clone();
         for _ in 0..rng.random_range(0..5) {
-            let place = rng.random_range(0..bytes.len());
+            let offset = rng.random_range(0..bytes.len());
             match rng.random_range(0..4) {
-                0 => bytes[place] ^= 1 << rng.random_range(0..8),
-                1 => bytes[place] = 0xff,
-                2 => bytes.insert(place, rng.random()),
-                _ => bytes.truncate(place.max(1)),
+                0 => bytes[offset] ^= 1 << rng.random_range(0..8),
+                1 => bytes[offset] = 0xff,
+                2 => bytes.insert(offset, rng.random()),
+                _ => bytes.truncate(offset.max(1)),
             }
         }
         sender.send_to(&bytes, one.address).await.expect("loopback");
@@ -450,43 +451,47 @@
     let other = instance(2, 1, &[one.address]).await;
     other.gateway.caches().record(&Arc::from("e0"), &[SHARED], 100_000);
     until(|| other.gateway.peers().live_peers(Millis::ZERO) > 0).await;
-    let told = "anvilhook_gateway_unreadable_total{name=\"peers\"}";
-    assert!(one.gateway.metrics_text().contains(told), "what can't be read is counted");
+    let counter = "anvilhook_gateway_unreadable_total{name=\"peers\"}";
+    assert!(one.gateway.metrics_text().contains(counter), "unreadable datagrams are counted");
     assert_eq!(one.gateway.fleet().view().all().count(), 1);
-    let fades = || {
+    let has_expired = || {
         let work = engine.state.work(anvilhook_core::units::Clock::now(&one.clock));
         work.in_flight == 0 && work.reading_ms == 0.0
     };
-    until(fades).await;
+    until(has_expired).await;
 }
 
-/// Hundreds of engines change at once, and no instance of the zone is told: each asks the table, and hears late
-/// of an upstream that leaves.
+/// Guards against changes of hundreds of engines that are not published in the zone: each instance would
+/// have to query the table, and would notice late that an upstream is leaving.
 #[test]
-fn verify_rows_of_hundreds_of_engines_are_told_in_spans_that_follow() {
+fn verify_rows_of_hundreds_of_engines_are_sent_in_consecutive_spans() {
     let row = |at: u64| Row {
         key: format!("engine-{at}"),
         value: Some("x".repeat(330).into()),
         // Two rows of each transaction.
         version: 100 + at / 2,
     };
-    let told = RowChanges { span: Span { after: 99, to: 400 }, rows: (0..300).map(row).collect() };
+    let changes =
+        RowChanges { span: Span { after: 99, to: 400 }, rows: (0..300).map(row).collect() };
 
-    let pieces = pieces_of(FollowedTable::Entries, &told);
+    let pieces = pieces_of(FollowedTable::Entries, &changes);
 
     let (mut assembler, from) = (Assembler::default(), ([127, 0, 0, 1], 1).into());
     let spans: Vec<_> = pieces.into_iter().filter_map(|one| assembler.take(from, one)).collect();
     assert!(spans.len() > 1);
     let mut known = 99;
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     for span in &spans {
-        assert_eq!(span.span.after, known, "a gap would have the table asked");
+        assert_eq!(span.span.after, known, "a gap would cause a query of the table");
         assert!(span.rows.iter().all(|row| row.version > known));
         known = span.span.to;
-        heard.extend(span.rows.clone());
+        received.extend(span.rows.clone());
     }
-    assert_eq!((known, &heard), (400, &told.rows));
+    assert_eq!((known, &received), (400, &changes.rows));
 
-    let many = RowChanges { rows: (0..5_000).map(row).collect(), ..told };
-    assert!(pieces_of(FollowedTable::Entries, &many).is_empty(), "as many would fill the links");
+    let many = RowChanges { rows: (0..5_000).map(row).collect(), ..changes };
+    assert!(
+        pieces_of(FollowedTable::Entries, &many).is_empty(),
+        "so many rows would fill the links"
+    );
 }
