--- a/crates/anvilhook-gateway/tests/pauses.rs
+++ b/crates/anvilhook-gateway/tests/pauses.rs
@@ -49,7 +49,7 @@
     };
 
     assert_eq!(ask("r1").await, 1, "the request whose refusal asks for the pause");
-    // A recorded success, which ends an ejection, does not shorten the pause.
+    // Neither the end of an ejection, as after this success, nor a newer load report shortens the pause.
     let view = front.gateway.fleet().view();
     view.get("near").expect("listed").state.ejection().record_success(clock.now());
     clock.advance(Millis(1_999));
--- a/crates/anvilhook-gateway/tests/peers.rs
+++ b/crates/anvilhook-gateway/tests/peers.rs
@@ -95,8 +95,9 @@
 }
 
 /// Symptom: all instances send their prompts to the same engine, which each assumes to be idle.
-/// Sequence: one instance has work in flight, then none; a datagram of invalid bytes arrives as well.
-/// Cause: an instance knows only its own work, and must learn that of others from digests.
+/// Sequence: one instance has work in flight, then none. A datagram of invalid bytes arrives as well.
+/// Cause: an instance knows only its own work, and must learn that of others from digests. Invalid bytes
+/// must change nothing.
 #[tokio::test]
 async fn verify_loads_are_received_and_end() {
     let one = instance(1, 1, &[]).await;
--- a/crates/anvilhook-gateway/tests/support/upstreams.rs
+++ b/crates/anvilhook-gateway/tests/support/upstreams.rs
@@ -68,7 +68,7 @@
         let address = listener.local_addr().expect("an address");
         let received = Arc::new(Mutex::new(Vec::new()));
         let closed = Arc::new(Notify::new());
-        let (script, log, has_closed) =
+        let (script, log, closed_signal) =
             (Arc::new(script), Arc::clone(&received), Arc::clone(&closed));
         let ends = Arc::new(watch::Sender::new(false));
         let ended = Arc::clone(&ends);
@@ -84,7 +84,7 @@
                     stream,
                     script,
                     log,
-                    Arc::clone(&has_closed),
+                    Arc::clone(&closed_signal),
                     Arc::clone(&ended),
                 ));
             }
