--- a/crates/anvilhook-gateway/tests/support/tables.rs
+++ b/crates/anvilhook-gateway/tests/support/tables.rs
@@ -1,4 +1,4 @@
-//! A table in memory, with faults.
+//! An in-memory table that simulates faults.
 
 use std::sync::{Arc, Mutex};
 
@@ -7,22 +7,22 @@
 use bytes::Bytes;
 use tokio::sync::Notify;
 
-/// `Fault` is what is wrong with a table.
+/// `Fault` is the fault that a table simulates.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing.
+    /// Calls succeed.
     #[default]
     None,
     /// Calls are refused.
-    Away,
-    /// The next changes are no longer kept.
+    Unavailable,
+    /// The next call reports that the history of changes is no longer stored.
     HistoryGone,
-    /// Changes are too large to be read.
+    /// Changes are too large to be read within a call.
     LargeChanges,
-    /// Writes take effect, and their answers are lost.
+    /// Writes take effect, but their answers are lost.
     AnswersLost,
-    /// Calls that wait for changes are never answered.
-    Silent,
+    /// Calls that wait for changes get no answer.
+    NoResponse,
 }
 
 #[derive(Debug, Default)]
@@ -35,7 +35,7 @@
     refused: usize,
 }
 
-/// `MemoryTable` is a table of one test. Clones share it.
+/// `MemoryTable` holds the tables of one test. Clones share its state.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryTable {
     state: Arc<Mutex<State>>,
@@ -43,7 +43,7 @@
 }
 
 impl MemoryTable {
-    /// Puts a row, whatever stood there.
+    /// Puts a row, or marks it as deleted, without a check of the stored version.
     pub fn put(&self, table: &str, key: &str, value: Option<&str>) {
         let mut state = self.state.lock().expect("no panic");
         state.version += 1;
@@ -56,21 +56,21 @@
         self.changed.notify_waiters();
     }
 
-    /// Sets what is wrong.
+    /// Sets the fault to simulate.
     pub fn set_fault(&self, fault: Fault) {
         self.state.lock().expect("no panic").fault = fault;
-        if fault != Fault::Silent {
+        if fault != Fault::NoResponse {
             self.changed.notify_waiters();
         }
     }
 
-    /// Returns the waits that were asked for, and the number of scans.
+    /// Returns the wait of each call for changes, and the number of scans.
     pub fn calls(&self) -> (Vec<Millis>, usize) {
         let state = self.state.lock().expect("no panic");
         (state.waits.clone(), state.scans)
     }
 
-    /// Returns how many calls were refused.
+    /// Returns the number of refused calls.
     pub fn refused(&self) -> usize {
         self.state.lock().expect("no panic").refused
     }
@@ -98,15 +98,15 @@
     fn check(&self) -> Result<(), TableError> {
         let mut state = self.state.lock().expect("no panic");
         match state.fault {
-            Fault::Away => {
+            Fault::Unavailable => {
                 state.refused += 1;
-                Err(TableError::Refused("away".to_owned()))
+                Err(TableError::Refused("unavailable".to_owned()))
             }
             Fault::HistoryGone => {
                 state.fault = Fault::None;
                 Err(TableError::HistoryGone)
             }
-            Fault::None | Fault::AnswersLost | Fault::LargeChanges | Fault::Silent => Ok(()),
+            Fault::None | Fault::AnswersLost | Fault::LargeChanges | Fault::NoResponse => Ok(()),
         }
     }
 }
@@ -132,8 +132,8 @@
             let changed = self.changed.notified();
             let _ = tokio::time::timeout(wait.as_duration(), changed).await;
             self.check()?;
-            let is_silent = self.state.lock().expect("no panic").fault == Fault::Silent;
-            if is_silent && wait > Millis::ZERO {
+            let has_no_response = self.state.lock().expect("no panic").fault == Fault::NoResponse;
+            if has_no_response && wait > Millis::ZERO {
                 std::future::pending::<()>().await;
             }
             rows = self.since(table, version);
