--- a/crates/anvilhook-standin/src/engines/batches.rs
+++ b/crates/anvilhook-standin/src/engines/batches.rs
@@ -1,4 +1,5 @@
-//! The continuous batch: which requests read, generate or wait, one step after another.
+//! Continuous batching: decides for each step which requests read their prompts (prefill), which
+//! generate tokens and which wait.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -12,26 +13,26 @@
 /// Microseconds in a millisecond.
 pub(super) const MICROS_PER_MILLI: u64 = 1_000;
 
-/// `Micros` is the engine's own time, finer than the clock that drives it.
+/// `Micros` is the engine's internal time in microseconds, finer than the clock that drives it.
 pub(super) type Micros = u64;
 
-/// Returns the first reading of the clock at which something at `at` has happened.
+/// Rounds `at` up to the first clock reading that is not before it.
 pub(super) fn millis_after(at: Micros) -> Millis {
     Millis(at.div_ceil(MICROS_PER_MILLI))
 }
 
-/// `Place` orders the requests that wait or read: by priority, then by arrival.
-type Place = (u8, u64);
+/// `QueueKey` orders the requests that wait or read their prompts: by priority, then by arrival.
+type QueueKey = (u8, u64);
 
-/// `Reading` is a request whose prompt is not read yet.
+/// `Reading` is a request whose prompt has not been read completely.
 #[derive(Clone, Debug)]
 struct Reading {
     req: ModelRequest,
-    /// Whether it holds a place of the batch.
+    /// Whether the request occupies a slot of the batch.
     started: bool,
-    /// The tokens still to be read or imported.
+    /// The number of tokens still to be read or imported.
     left: u64,
-    /// The tokens that the prefix cache spared.
+    /// The number of prompt tokens found in the prefix cache.
     cached: u64,
 }
 
@@ -46,14 +47,15 @@
     longest_gap: Micros,
 }
 
-/// `Step` is the work under way: one token for each request that generates, and a piece of prompt.
+/// `Step` is the batch step in progress: one token for each generating request, and chunks of
+/// prompts.
 #[derive(Clone, Debug)]
 struct Step {
     ends_at: Micros,
-    pieces: Vec<(Place, u64)>,
+    chunks: Vec<(QueueKey, u64)>,
 }
 
-/// `Load` counts what a batch holds.
+/// `Load` counts the queued and running work of a batch.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Load {
     pub(super) queued_requests: u32,
@@ -65,8 +67,8 @@
 /// `Batch` holds all open requests of an engine.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Batch {
-    places: HashMap<AttemptId, Place>,
-    reading: BTreeMap<Place, Reading>,
+    queue_keys: HashMap<AttemptId, QueueKey>,
+    reading: BTreeMap<QueueKey, Reading>,
     started: usize,
     generating: Vec<Generating>,
     step: Option<Step>,
@@ -76,7 +78,7 @@
 impl Batch {
     /// Returns the number of open requests.
     pub(super) fn len(&self) -> usize {
-        self.places.len()
+        self.queue_keys.len()
     }
 
     /// Returns the number of requests that have not started.
@@ -86,22 +88,22 @@
 
     /// Returns whether the attempt is open.
     pub(super) fn contains(&self, attempt: AttemptId) -> bool {
-        self.places.contains_key(&attempt)
+        self.queue_keys.contains_key(&attempt)
     }
 
     /// Returns the open attempts, sorted.
     pub(super) fn attempts(&self) -> Vec<AttemptId> {
-        let mut attempts: Vec<AttemptId> = self.places.keys().copied().collect();
+        let mut attempts: Vec<AttemptId> = self.queue_keys.keys().copied().collect();
         attempts.sort_unstable();
         attempts
     }
 
-    /// Returns when the step under way ends.
+    /// Returns when the step in progress ends.
     pub(super) fn step_ends_at(&self) -> Option<Micros> {
         self.step.as_ref().map(|step| step.ends_at)
     }
 
-    /// Counts what the batch holds.
+    /// Returns the queued and running work.
     pub(super) fn load(&self) -> Load {
         let reads = |reading: &&Reading| reading.req.kind != WorkKind::Decode;
         Load {
@@ -112,50 +114,51 @@
         }
     }
 
-    /// Takes a request in.
+    /// Adds a request to the queue.
     pub(super) fn push(&mut self, req: ModelRequest) {
-        let place = (req.priority, self.arrivals);
+        let key = (req.priority, self.arrivals);
         self.arrivals += 1;
-        self.places.insert(req.attempt, place);
+        self.queue_keys.insert(req.attempt, key);
         let left = req.prompt.0;
-        self.reading.insert(place, Reading { req, started: false, left, cached: 0 });
+        self.reading.insert(key, Reading { req, started: false, left, cached: 0 });
     }
 
-    /// Drops a request. The step under way ends no sooner for that.
+    /// Removes a request and returns whether it was open. The end of the step in progress stays the
+    /// same.
     pub(super) fn remove(&mut self, attempt: AttemptId) -> bool {
-        let Some(place) = self.places.remove(&attempt) else { return false };
-        match self.reading.remove(&place) {
+        let Some(key) = self.queue_keys.remove(&attempt) else { return false };
+        match self.reading.remove(&key) {
             Some(reading) => self.started -= usize::from(reading.started),
             None => self.generating.retain(|run| run.attempt != attempt),
         }
         true
     }
 
-    /// Begins a step if none is under way and there is work.
+    /// Begins a step if none is in progress and there is work.
     pub(super) fn begin_step(
         &mut self,
         now: Micros,
         opts: &EngineOptions,
         cache: &mut PrefixCache,
     ) {
-        if self.step.is_some() || self.places.is_empty() {
+        if self.step.is_some() || self.queue_keys.is_empty() {
             return;
         }
 
-        // Every request that generates gets one token.
+        // Each generating request produces one token.
         let mut micros = 0.0;
         if let Some(others) = self.generating.len().checked_sub(1) {
             let step_ms = opts.decode_step_ms + others as f64 * opts.decode_step_per_request_ms;
             micros += step_ms * MICROS_PER_MILLI as f64;
         }
 
-        // The rest of the step reads prompts in the order of their places.
-        let mut pieces = Vec::new();
+        // The remaining budget of the step goes to prompts, in queue order.
+        let mut chunks = Vec::new();
         let mut free =
             (opts.max_batch as usize).saturating_sub(self.started + self.generating.len());
         let mut started_left = self.started;
         let mut budget = opts.prefill_chunk.0.max(1);
-        for (place, reading) in &mut self.reading {
+        for (key, reading) in &mut self.reading {
             if budget == 0 || (free == 0 && started_left == 0) {
                 break;
             }
@@ -168,15 +171,16 @@
             } else {
                 continue;
             }
-            let piece = reading.left.min(budget);
-            budget -= piece;
-            micros += piece as f64 * reading.micros_per_token(opts);
-            pieces.push((*place, piece));
+            let chunk = reading.left.min(budget);
+            budget -= chunk;
+            micros += chunk as f64 * reading.micros_per_token(opts);
+            chunks.push((*key, chunk));
         }
-        self.step = Some(Step { ends_at: now + (micros as u64).max(1), pieces });
+        self.step = Some(Step { ends_at: now + (micros as u64).max(1), chunks });
     }
 
-    /// Ends the step under way: publishes its tokens and passes each prompt read to `prompt_read`.
+    /// Ends the step in progress: publishes its tokens and calls `prompt_read` for each prompt that
+    /// is now read completely.
     pub(super) fn end_step(
         &mut self,
         token_events: bool,
@@ -186,39 +190,39 @@
         let Some(step) = self.step.take() else { return };
         self.generate(step.ends_at, token_events, events);
 
-        for (place, piece) in step.pieces {
-            // A request that was cancelled meanwhile is gone.
-            let Some(reading) = self.reading.get_mut(&place) else { continue };
-            reading.left -= piece;
+        for (key, chunk) in step.chunks {
+            // The request may have been cancelled during the step.
+            let Some(reading) = self.reading.get_mut(&key) else { continue };
+            reading.left -= chunk;
             if reading.left > 0 {
                 continue;
             }
-            let Some(reading) = self.reading.remove(&place) else { continue };
+            let Some(reading) = self.reading.remove(&key) else { continue };
             self.started -= 1;
             prompt_read(&reading.req);
             self.finish_reading(reading, step.ends_at, events);
         }
     }
 
-    /// Gives one token to each request that generates.
+    /// Produces one token for each generating request.
     fn generate(&mut self, at: Micros, token_events: bool, events: &mut Vec<EngineEvent>) {
-        let places = &mut self.places;
+        let queue_keys = &mut self.queue_keys;
         self.generating.retain_mut(|run| {
             run.produce(at, token_events, events);
-            let goes_on = run.produced < run.output;
-            if !goes_on {
-                places.remove(&run.attempt);
+            let is_unfinished = run.produced < run.output;
+            if !is_unfinished {
+                queue_keys.remove(&run.attempt);
             }
-            goes_on
+            is_unfinished
         });
     }
 
-    /// Ends work of kind `Prefill`, and has the other kinds generate.
+    /// Completes work of kind `Prefill` and moves the other kinds on to generation.
     fn finish_reading(&mut self, reading: Reading, at: Micros, events: &mut Vec<EngineEvent>) {
         let Reading { req, cached, .. } = reading;
         let attempt = req.attempt;
         if req.kind == WorkKind::Prefill {
-            self.places.remove(&attempt);
+            self.queue_keys.remove(&attempt);
             let cached = Tokens(cached);
             events.push(EngineEvent::Prefilled { attempt, at: millis_after(at), cached });
             return;
@@ -227,20 +231,20 @@
         let output = req.output.0.max(1);
         let mut run =
             Generating { attempt, output, produced: 0, cached, last_at: at, longest_gap: 0 };
-        // Reading a prompt yields the first token of its output; an imported cache yields none.
+        // Reading a prompt yields the first token of its output; importing a KV cache yields none.
         if req.kind == WorkKind::Full {
             run.produce(at, false, events);
         }
         if run.produced < run.output {
             self.generating.push(run);
         } else {
-            self.places.remove(&attempt);
+            self.queue_keys.remove(&attempt);
         }
     }
 }
 
 impl Reading {
-    /// Takes a place of the batch, and skips what the prefix cache holds.
+    /// Occupies a slot of the batch and skips the prompt tokens held in the prefix cache.
     fn start(&mut self, cache: &mut PrefixCache) {
         self.started = true;
         if self.req.kind == WorkKind::Decode {
@@ -248,7 +252,7 @@
         }
         let held = cache.take(&self.req.blocks) as u64;
         let in_cache = held * anvilhook_core::reports::PREFIX_BLOCK_TOKENS;
-        // The last token is always read, because it yields the first of the output.
+        // The last prompt token is always read, because it yields the first output token.
         self.cached = in_cache.min(self.left.saturating_sub(1));
         self.left -= self.cached;
     }
@@ -263,7 +267,7 @@
 }
 
 impl Generating {
-    /// Publishes the next token, and the end after the last one.
+    /// Publishes the next token, and `Finished` after the last one.
     fn produce(&mut self, at: Micros, token_events: bool, events: &mut Vec<EngineEvent>) {
         let attempt = self.attempt;
         let millis = millis_after(at);
--- a/crates/anvilhook-standin/src/engines/caches.rs
+++ b/crates/anvilhook-standin/src/engines/caches.rs
@@ -1,4 +1,5 @@
-//! The prefix cache of an engine and the late, gapped log of its changes.
+//! The prefix cache of an engine, and the log of its changes, which is published late and with
+//! gaps.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
@@ -6,13 +7,13 @@
 use anvilhook_core::units::Millis;
 use rand::{Rng, RngExt};
 
-/// The most events that an engine keeps for readers; older ones are a gap.
-const MAX_KEPT_EVENTS: usize = 20_000;
+/// The maximum number of events retained for readers; older events are dropped and leave a gap.
+const MAX_RETAINED_EVENTS: usize = 20_000;
 
-/// The most events in one page.
+/// The maximum number of events in one page.
 const MAX_PAGE: usize = 1_000;
 
-/// `PrefixCache` holds the blocks used last.
+/// `PrefixCache` holds the most recently used blocks.
 #[derive(Clone, Debug)]
 pub(super) struct PrefixCache {
     capacity: usize,
@@ -22,35 +23,36 @@
 }
 
 impl PrefixCache {
-    /// Makes an empty cache.
+    /// Creates an empty cache.
     pub(super) fn new(capacity: usize) -> Self {
         let used_at = HashMap::with_capacity(capacity);
         Self { capacity, used_at, by_use: BTreeMap::new(), next_use: 0 }
     }
 
-    /// Returns how many of the blocks are held, from the first, and marks them as used.
+    /// Returns how many blocks from the first on are held without a gap, and marks them as used.
     pub(super) fn take(&mut self, blocks: &[PrefixHash]) -> usize {
         let held = blocks.iter().take_while(|block| self.used_at.contains_key(block)).count();
-        // The last block is touched first, so that a prefix outlives what hangs on it.
+        // The last block is touched first, so that a prefix is evicted after the blocks that
+        // continue it.
         for block in blocks[..held].iter().rev() {
             self.touch(*block);
         }
         held
     }
 
-    /// Stores the blocks and tells of each change.
+    /// Stores the blocks and calls `changed` for each block stored or evicted.
     pub(super) fn store(
         &mut self,
         blocks: &[PrefixHash],
         mut changed: impl FnMut(CacheChange, PrefixHash),
     ) {
-        let kept = &blocks[..blocks.len().min(self.capacity)];
-        for block in kept {
+        let retained = &blocks[..blocks.len().min(self.capacity)];
+        for block in retained {
             if !self.used_at.contains_key(block) {
                 changed(CacheChange::Stored, *block);
             }
         }
-        for block in kept.iter().rev() {
+        for block in retained.iter().rev() {
             self.touch(*block);
         }
         while self.used_at.len() > self.capacity {
@@ -69,7 +71,7 @@
     }
 }
 
-/// `CacheLog` publishes the cache's changes late and loses some.
+/// `CacheLog` publishes the cache's changes with a lag and loses a share of them.
 #[derive(Clone, Debug)]
 pub(super) struct CacheLog {
     lag: Millis,
@@ -79,7 +81,7 @@
 }
 
 impl CacheLog {
-    /// Makes an empty log.
+    /// Creates an empty log.
     pub(super) fn new(lag: Millis, loss: f64) -> Self {
         Self { lag, loss, next_seq: 1, events: VecDeque::new() }
     }
@@ -98,12 +100,12 @@
             return;
         }
         self.events.push_back((now + self.lag, event));
-        if self.events.len() > MAX_KEPT_EVENTS {
+        if self.events.len() > MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// Returns the events after the given number that are published by now.
+    /// Returns the events after number `seq` that are published at `now`, at most one page.
     pub(super) fn after(&self, seq: u64, now: Millis) -> Vec<CacheEvent> {
         let start = self.events.partition_point(|(_, event)| event.seq <= seq);
         let later = self.events.range(start..);
--- a/crates/anvilhook-standin/src/engines/events.rs
+++ b/crates/anvilhook-standin/src/engines/events.rs
@@ -1,4 +1,4 @@
-//! What goes into an engine and what comes out.
+//! The requests that an engine receives and the events that it publishes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,38 +8,38 @@
 use anvilhook_core::reports::PrefixHash;
 use anvilhook_core::units::{Millis, Tokens};
 
-/// `WorkKind` says which part of a request an engine is asked for.
+/// `WorkKind` indicates which part of a request an engine is to process.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum WorkKind {
     /// Read the prompt and generate the output.
     Full,
-    /// Read the prompt and keep its KV cache for export.
+    /// Read the prompt and retain its KV cache for export.
     Prefill,
     /// Import the prompt's KV cache and generate the output.
     Decode,
 }
 
-/// `ModelRequest` is one attempt's work.
+/// `ModelRequest` is the work of one attempt.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct ModelRequest {
-    /// The attempt.
+    /// The attempt's id.
     pub attempt: AttemptId,
-    /// Which part is asked for.
+    /// The part of the request to process.
     pub kind: WorkKind,
     /// The length of the prompt.
     pub prompt: Tokens,
-    /// The prompt's whole blocks, from its start.
+    /// The hashes of the prompt's complete blocks, from its start.
     pub blocks: Arc<[PrefixHash]>,
-    /// The length of the output, at least 1.
+    /// The length of the output; 0 counts as 1 where output is generated.
     pub output: Tokens,
-    /// The priority; the smaller goes first.
+    /// The priority; smaller values go first.
     pub priority: u8,
 }
 
-/// `Refused` says why an engine did not take a request. It has done nothing of it.
+/// `Refused` is the reason why an engine refused a request. A refused request has not run at all.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Refused {
-    /// The engine's process does not run.
+    /// The engine's process is not running.
     Down,
     /// An order is being carried out.
     Changing,
@@ -47,9 +47,9 @@
     WrongRole,
     /// No model is loaded.
     NoModel,
-    /// Too many requests wait.
+    /// Too many requests are waiting.
     QueueFull,
-    /// The attempt is already known.
+    /// The engine already knows the attempt.
     Duplicate,
 }
 
@@ -68,77 +68,77 @@
 
 impl std::error::Error for Refused {}
 
-/// `CutCause` says why an engine dropped open requests.
+/// `CutCause` is the reason why an engine dropped open requests.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum CutCause {
-    /// The process ended.
+    /// The process terminated.
     Crash,
     /// An order took the engine out of service while requests were open.
     Order,
 }
 
-/// `EngineEvent` is one thing that happened in an engine. Events come in the order of their times.
+/// `EngineEvent` is an event of an engine. Events are returned in the order of their times.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum EngineEvent {
-    /// The first token of the output.
+    /// The first token of the output has been generated.
     FirstToken {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// When.
+        /// The time of the event.
         at: Millis,
-        /// The prompt tokens that the prefix cache spared.
+        /// The number of prompt tokens found in the prefix cache.
         cached: Tokens,
     },
-    /// A later token; published only with `EngineOptions::token_events`.
+    /// A later token has been generated. Published only with `EngineOptions::token_events`.
     Token {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
         /// The token's number, from 2.
         index: u64,
-        /// When.
+        /// The time of the event.
         at: Millis,
     },
     /// The last token has been published.
     Finished {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// When.
+        /// The time of the event.
         at: Millis,
         /// The output's length.
         output: Tokens,
-        /// The longest time between two tokens.
+        /// The longest time between two consecutive tokens.
         longest_gap: Millis,
     },
-    /// The prompt has been read and its KV cache can be exported; ends work of kind `Prefill`.
+    /// The prompt has been read and its KV cache can be exported. Completes work of kind `Prefill`.
     Prefilled {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// When.
+        /// The time of the event.
         at: Millis,
-        /// The prompt tokens that the prefix cache spared.
+        /// The number of prompt tokens found in the prefix cache.
         cached: Tokens,
     },
     /// The attempt was cancelled before its end.
     Cancelled {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// When.
+        /// The time of the event.
         at: Millis,
     },
-    /// The attempt was dropped before its end.
+    /// The engine dropped the attempt before its end.
     Cut {
-        /// The attempt.
+        /// The attempt's id.
         attempt: AttemptId,
-        /// When.
+        /// The time of the event.
         at: Millis,
-        /// Why.
+        /// Why it was dropped.
         cause: CutCause,
     },
     /// An order has been carried out.
     OrderDone {
         /// The order's stamp.
         stamp: Stamp,
-        /// When.
+        /// The time of the event.
         at: Millis,
     },
 }
--- a/crates/anvilhook-standin/src/engines/mod.rs
+++ b/crates/anvilhook-standin/src/engines/mod.rs
@@ -1,7 +1,7 @@
-//! A model engine: a state machine without I/O, and the server that puts it behind HTTP.
+//! A stand-in model engine: a state machine without I/O, and a server that offers it over HTTP.
 //!
-//! `EngineModel` takes the time as an argument, so one and the same engine serves over HTTP and
-//! runs under a manual clock.
+//! `EngineModel` receives the time as an argument, so the same engine can serve over HTTP and run
+//! under a manual clock.
 
 mod batches;
 mod caches;
--- a/crates/anvilhook-standin/src/engines/models.rs
+++ b/crates/anvilhook-standin/src/engines/models.rs
@@ -1,4 +1,4 @@
-//! The engine as a state machine.
+//! `EngineModel`: the engine as a state machine without I/O.
 
 use anvilhook_core::attempts::AttemptId;
 use anvilhook_core::orders::{EngineState, OrderReply, StampedOrder};
@@ -12,13 +12,13 @@
 use super::events::{CutCause, EngineEvent, ModelRequest, Refused, WorkKind};
 use super::options::{EngineOptions, OrderOutcome};
 use super::orders::{OrderEnd, OrderRecord};
-use super::setups::{RunningOrder, Setup, takes_engine, time_of};
+use super::setups::{RunningOrder, Setup, duration_of, suspends_serving};
 use super::snapshots::Snapshots;
 
-/// `EngineModel` is a model engine that only moves when it is told the time.
+/// `EngineModel` is a model engine whose state changes only in calls that pass the current time.
 ///
-/// Every method that takes `now` first does what was due until then; what came of it is returned
-/// by the next `advance`. The time must not go back.
+/// Every method with a `now` argument first processes the work due until then. The next `advance`
+/// returns the resulting events. The time must not go back.
 ///
 /// ```
 /// use anvilhook_core::attempts::AttemptId;
@@ -64,7 +64,7 @@
 }
 
 impl EngineModel {
-    /// Starts an engine.
+    /// Creates a running engine.
     pub fn new(opts: EngineOptions, now: Millis) -> Self {
         let batch = Batch::default();
         let setup = Setup::new(&opts);
@@ -86,11 +86,11 @@
         }
     }
 
-    /// Takes a request.
+    /// Accepts or refuses a request.
     ///
     /// # Errors
     ///
-    /// The reason for which the request was refused; nothing of it has been done.
+    /// The reason why the request was refused. A refused request has not run at all.
     pub fn submit(&mut self, now: Millis, req: ModelRequest) -> Result<(), Refused> {
         self.run_until(now);
         self.check(&req)?;
@@ -99,20 +99,20 @@
         Ok(())
     }
 
-    /// Does what was due until `now`, and returns all that happened since the last call.
+    /// Processes the work due until `now` and returns all events since the last call.
     pub fn advance(&mut self, now: Millis) -> Vec<EngineEvent> {
         self.run_until(now);
         std::mem::take(&mut self.events)
     }
 
-    /// Returns when the engine next has something to do, if it has.
+    /// Returns when the step or order in progress ends, if there is one.
     pub fn next_event_at(&self) -> Option<Millis> {
         let step = self.batch.step_ends_at().map(millis_after);
         let order = self.setup.running.as_ref().map(|running| running.done_at);
         step.into_iter().chain(order).min()
     }
 
-    /// Drops an attempt's work and returns whether it was open.
+    /// Cancels an attempt and returns whether it was open.
     pub fn cancel(&mut self, now: Millis, attempt: AttemptId) -> bool {
         self.run_until(now);
         let was_open = self.batch.remove(attempt);
@@ -122,8 +122,8 @@
         was_open
     }
 
-    /// Takes an order. One that changes the role or the model cuts every open request, which is
-    /// why an engine is drained before it.
+    /// Receives an order and returns the reply. An accepted order that changes the role or the
+    /// model drops every open request, so an engine is drained before such an order.
     pub fn order(&mut self, now: Millis, order: &StampedOrder) -> OrderReply {
         self.run_until(now);
         let open = self.batch.attempts();
@@ -144,14 +144,14 @@
         reply
     }
 
-    /// Ends the process at once: what was open, queued and cached is lost.
+    /// Terminates the process at once: all open and queued requests and the cache are lost.
     pub fn crash(&mut self, now: Millis) {
         self.run_until(now);
         if !self.up {
             return;
         }
         self.up = false;
-        self.cut_all(now, CutCause::Crash);
+        self.drop_all(now, CutCause::Crash);
         if let Some(running) = self.setup.running.take() {
             self.orders[running.record].end = Some(OrderEnd::Interrupted { at: now });
             if self.opts.interrupted_order == OrderOutcome::After {
@@ -161,7 +161,7 @@
     }
 
     /// Starts the process again after a crash, with a new boot number and an empty cache. The role
-    /// and the model are as before; the last accepted stamp and the adapters are forgotten.
+    /// and the model are retained; the last accepted stamp and the adapters are lost.
     pub fn restart(&mut self, now: Millis) {
         self.run_until(now);
         if self.up {
@@ -169,20 +169,20 @@
         }
         self.up = true;
         self.boot += 1;
-        self.setup.forget();
+        self.setup.clear_volatile();
         self.cache = PrefixCache::new(self.opts.cache_blocks);
         self.cache_log = CacheLog::new(self.opts.cache_event_lag, self.opts.cache_event_loss);
         let (interval, lag) = (self.opts.report_interval, self.opts.report_lag);
         self.snapshots = Snapshots::new(interval, lag, now, self.describe());
     }
 
-    /// Sets whether the engine says that it is leaving. It still takes requests.
+    /// Sets whether the engine reports that it is leaving. It still accepts requests.
     pub fn set_leaving(&mut self, now: Millis, leaving: bool) {
         self.run_until(now);
         self.leaving = leaving;
     }
 
-    /// Returns the load as it was a while ago, or nothing from an engine that is down.
+    /// Returns a load report with the lag of the options, or `None` if the engine is down.
     pub fn report(&mut self, now: Millis) -> Option<LoadReport> {
         self.run_until(now);
         if !self.up {
@@ -191,15 +191,14 @@
         self.snapshots.answer(now)
     }
 
-    /// Returns the published cache events after number `after`, or nothing from an engine that is
-    /// down.
+    /// Returns the published cache events after number `after`, or `None` if the engine is down.
     pub fn cache_events(&mut self, now: Millis, after: u64) -> Option<CacheEventPage> {
         self.run_until(now);
         self.up
             .then(|| CacheEventPage { boot: self.boot, events: self.cache_log.after(after, now) })
     }
 
-    /// Returns the state as it is, or nothing from an engine that is down.
+    /// Returns the current state, or `None` if the engine is down.
     pub fn state(&mut self, now: Millis) -> Option<EngineState> {
         self.run_until(now);
         self.up.then(|| EngineState {
@@ -243,7 +242,7 @@
         Ok(())
     }
 
-    /// Handles everything due until `now` in the order of its times.
+    /// Processes the steps and orders that end until `now`, in the order of their times.
     fn run_until(&mut self, now: Millis) {
         let until = now.0 * MICROS_PER_MILLI;
         loop {
@@ -290,15 +289,15 @@
     fn begin_order(&mut self, now: Millis, order: &StampedOrder, record: &mut OrderRecord) {
         self.setup.last_stamp = self.setup.last_stamp.max(order.stamp);
         let stamp = order.stamp;
-        if self.setup.is_as_asked(&order.order) {
+        if self.setup.is_satisfied(&order.order) {
             record.end = Some(OrderEnd::Done { at: now });
             self.events.push(EngineEvent::OrderDone { stamp, at: now });
             return;
         }
-        if takes_engine(&order.order) {
-            record.cut = self.cut_all(now, CutCause::Order);
+        if suspends_serving(&order.order) {
+            record.cut = self.drop_all(now, CutCause::Order);
         }
-        let done_at = now + time_of(&order.order, &self.opts);
+        let done_at = now + duration_of(&order.order, &self.opts);
         let (order, record) = (order.clone(), self.orders.len());
         self.setup.running = Some(RunningOrder { order, done_at, record });
     }
@@ -311,7 +310,7 @@
         self.events.push(EngineEvent::OrderDone { stamp: running.order.stamp, at });
     }
 
-    fn cut_all(&mut self, at: Millis, cause: CutCause) -> Vec<AttemptId> {
+    fn drop_all(&mut self, at: Millis, cause: CutCause) -> Vec<AttemptId> {
         let cut = self.batch.attempts();
         let events = cut.iter().map(|attempt| EngineEvent::Cut { attempt: *attempt, at, cause });
         self.events.extend(events);
--- a/crates/anvilhook-standin/src/engines/options.rs
+++ b/crates/anvilhook-standin/src/engines/options.rs
@@ -1,10 +1,10 @@
-//! How fast a stand-in engine is and how it behaves towards its authority.
+//! Options of a stand-in engine: its speed, its faults and its handling of orders.
 
 use anvilhook_core::names::ModelName;
 use anvilhook_core::orders::{ModelRef, Role};
 use anvilhook_core::units::{Millis, Tokens};
 
-/// `OrderOutcome` says which state an engine comes back in after a crash amid an order.
+/// `OrderOutcome` is the state in which an engine restarts after a crash during an order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderOutcome {
     /// The state before the order.
@@ -25,7 +25,7 @@
 pub struct EngineOptions {
     /// The boot number of the first start; each restart adds one.
     pub first_boot: u64,
-    /// The seed of what is left to chance, such as which cache events are lost.
+    /// The seed of random decisions, such as which cache events are lost.
     pub seed: u64,
     /// The role at the first start.
     pub role: Role,
@@ -33,41 +33,41 @@
     pub model: Option<ModelRef>,
     /// Whether an order whose stamp is not above the last accepted one is refused.
     pub checks_fencing: bool,
-    /// Prompt tokens read in a second when nothing else is done.
+    /// The prompt tokens read per second while no request generates.
     pub prefill_tokens_per_s: u32,
-    /// The most prompt tokens read in one step of the batch. The larger, the longer a request that
-    /// generates waits for its next token while a prompt is read.
+    /// The maximum number of prompt tokens read in one step of the batch. With a larger chunk, a
+    /// generating request waits longer for its next token while a prompt is read.
     pub prefill_chunk: Tokens,
-    /// Tokens of an imported KV cache taken in a second.
+    /// The tokens of a KV cache imported per second.
     pub kv_import_tokens_per_s: u32,
-    /// Time between two tokens of one request that runs alone, in milliseconds.
+    /// The time between two tokens of a request that runs alone, in milliseconds.
     pub decode_step_ms: f64,
-    /// How much each further request of the batch adds to that time, in milliseconds.
+    /// The time that each additional generating request adds to a step, in milliseconds.
     pub decode_step_per_request_ms: f64,
-    /// The most requests that read or generate at once.
+    /// The maximum number of requests that read or generate at the same time.
     pub max_batch: u32,
-    /// The most requests that wait; one more is refused.
+    /// The maximum number of waiting requests; further requests are refused.
     pub max_queue: usize,
-    /// The blocks that the prefix cache holds.
+    /// The capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// How late a cache event is published.
+    /// The delay until a cache event is published.
     pub cache_event_lag: Millis,
     /// The share of cache events that are never published, from 0 to 1.
     pub cache_event_loss: f64,
-    /// How old a load report is at least when it is answered.
+    /// The minimum age of the load report that is returned, once one is old enough.
     pub report_lag: Millis,
-    /// The time between two load reports.
+    /// The interval between two load reports.
     pub report_interval: Millis,
-    /// How long a change of role takes.
+    /// The duration of a role change.
     pub role_change: Millis,
-    /// How long loading a model takes.
+    /// The time to load a model.
     pub model_load: Millis,
-    /// How long loading an adapter takes; requests are served meanwhile.
+    /// The time to load an adapter. The engine serves requests meanwhile.
     pub adapter_load: Millis,
-    /// Where an order ends that a crash interrupts.
+    /// The state after a restart if a crash interrupted an order.
     pub interrupted_order: OrderOutcome,
-    /// Whether each token after the first is an event. Who counts whole answers only goes without,
-    /// and saves the time of taking them.
+    /// Whether each token after the first is published as an event. Callers that only count
+    /// complete answers turn this off to save the time of handling these events.
     pub token_events: bool,
 }
 
--- a/crates/anvilhook-standin/src/engines/orders.rs
+++ b/crates/anvilhook-standin/src/engines/orders.rs
@@ -1,39 +1,39 @@
-//! The log of orders that an engine received, which invariant checks read.
+//! The records of the orders that an engine received, for invariant checks.
 
 use anvilhook_core::attempts::AttemptId;
 use anvilhook_core::orders::{OrderReply, StampedOrder};
 use anvilhook_core::units::Millis;
 
-/// `OrderEnd` says what became of an accepted order.
+/// `OrderEnd` is the outcome of an accepted order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderEnd {
-    /// It was carried out.
+    /// The order was carried out.
     Done {
-        /// When.
+        /// When it was completed.
         at: Millis,
     },
-    /// The engine crashed amid it.
+    /// The engine crashed while it carried out the order.
     Interrupted {
-        /// When.
+        /// When the engine crashed.
         at: Millis,
     },
 }
 
-/// `OrderRecord` is one order as an engine received it.
+/// `OrderRecord` records one received order and its outcome.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct OrderRecord {
-    /// When it was received.
+    /// When the order was received.
     pub at: Millis,
-    /// The engine's boot number then.
+    /// The engine's boot number at that time.
     pub boot: u64,
     /// The order with its stamp.
     pub order: StampedOrder,
-    /// What the engine replied.
+    /// The engine's reply.
     pub reply: OrderReply,
-    /// The requests that were open then.
+    /// The requests that were open when the order was received.
     pub open: Vec<AttemptId>,
-    /// Those of them that the order cut. A drain exists to keep this empty.
+    /// The open requests that the order dropped. After a complete drain this is empty.
     pub cut: Vec<AttemptId>,
-    /// What became of it; none for a refused order and one that is still being carried out.
+    /// The outcome; `None` for a refused order and for one that is still being carried out.
     pub end: Option<OrderEnd>,
 }
--- a/crates/anvilhook-standin/src/engines/serving/controls.rs
+++ b/crates/anvilhook-standin/src/engines/serving/controls.rs
@@ -1,4 +1,4 @@
-//! The engine's control calls: state, load, cache events, orders and KV caches.
+//! Handlers of the engine's control calls: state, load, cache events, orders and KV caches.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -21,10 +21,10 @@
 use super::servers::{Engine, OrderFault};
 use crate::faults::{echo, peer_of};
 
-/// `KvSource` is the query of a call that brings a KV cache.
+/// `KvSource` is the query of a call that imports a KV cache.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub(super) struct KvSource {
-    /// The engine to fetch it from, unless it is in the body.
+    /// The engine to fetch the KV cache from; without it, the body contains the cache.
     #[serde(default)]
     from: Option<SocketAddr>,
 }
@@ -78,8 +78,8 @@
     control_answer(&parts.headers, Some(reply)).await
 }
 
-/// Has the engine take an order, on a task of its own: what the network holds back still arrives
-/// after the sender has given up.
+/// Delivers an order to the engine. A separate task does this, so that an order delayed by the
+/// network still arrives after its sender has timed out.
 async fn deliver(
     engine: Arc<Engine>,
     order: StampedOrder,
@@ -87,7 +87,7 @@
 ) -> OrderReply {
     let delivery = tokio::spawn(async move {
         if fault == Some(OrderFault::HeldBack) {
-            engine.released().await;
+            engine.wait_for_release().await;
         }
         engine.hub.with_model(|model, now| model.order(now, &order))
     });
@@ -148,7 +148,8 @@
     }
 }
 
-/// Answers a control call. An engine that is down never answers.
+/// Answers a control call. Never returns if `value` is `None`: an engine that is down does not
+/// answer.
 async fn control_answer<T: serde::Serialize>(
     headers: &HeaderMap,
     value: Option<T>,
--- a/crates/anvilhook-standin/src/engines/serving/feeds.rs
+++ b/crates/anvilhook-standin/src/engines/serving/feeds.rs
@@ -1,4 +1,4 @@
-//! The events of a streamed answer, with the fault that meets them.
+//! The events of a streamed answer, with the planned fault applied.
 
 use std::sync::Arc;
 
@@ -12,7 +12,7 @@
 use super::texts::token_text;
 use crate::faults::{Connection, Fault, FaultPlan, Front, break_off};
 
-/// `Feed` yields the events of one attempt from a number on.
+/// `Feed` yields the events of one attempt after a given number.
 pub(super) struct Feed {
     reader: Reader,
     front: Front,
@@ -20,10 +20,10 @@
     plan: Option<FaultPlan>,
     /// The number of the last event yielded.
     last: u64,
-    /// The events yielded by this feed.
+    /// The number of events yielded by this feed, repetitions not counted.
     yielded: u64,
     progress: Progress,
-    /// An event that is yielded again.
+    /// The number of an event to yield a second time.
     repeated: Option<u64>,
     closed: bool,
 }
@@ -64,12 +64,12 @@
         if let Some(number) = self.repeated.take() {
             return Some(Ok(self.chunk(number)));
         }
-        if let Some(err) = self.fail_amid().await {
+        if let Some(err) = self.fail_midstream().await {
             self.closed = true;
             return Some(Err(err));
         }
         if self.progress.produced <= self.last && self.progress.end.is_none() {
-            self.progress = self.reader.further_than(self.last).await;
+            self.progress = self.reader.wait_beyond(self.last).await;
         }
         self.front.pass().await;
         self.connection.pass().await;
@@ -79,8 +79,9 @@
         self.close()
     }
 
-    /// Carries out the fault that strikes after the events yielded so far.
-    async fn fail_amid(&self) -> Option<BoxError> {
+    /// Applies the planned fault if enough events have been yielded. Returns the error that ends
+    /// the stream.
+    async fn fail_midstream(&self) -> Option<BoxError> {
         let plan = self.plan.filter(|plan| plan.events <= self.yielded)?;
         match plan.fault {
             Fault::ResetAfterFirstByte | Fault::SilentMidAnswer | Fault::CutShort => {
@@ -99,16 +100,17 @@
         self.chunk(self.last)
     }
 
-    /// Ends the stream with its closing event if the output is whole.
+    /// Ends the stream: with its closing event if the output is complete, with an error otherwise.
     fn close(&mut self) -> Option<Result<Event, BoxError>> {
         self.closed = true;
         match self.progress.end {
             Some(AttemptEnd::Finished | AttemptEnd::Prefilled) => {
-                let without = self.plan.is_some_and(|plan| plan.fault == Fault::NoClosingEvent);
-                (!without).then(|| Ok(Event::new().data(DONE)))
+                let is_omitted = self.plan.is_some_and(|plan| plan.fault == Fault::NoClosingEvent);
+                (!is_omitted).then(|| Ok(Event::new().data(DONE)))
             }
             _ => {
-                // The server drops its handle on the connection; the second one must go as well.
+                // The error makes the server drop its handle on the socket. The second handle must
+                // be closed as well, or the connection stays open.
                 self.connection.close();
                 Some(Err(BoxError::from("the attempt was dropped")))
             }
--- a/crates/anvilhook-standin/src/engines/serving/handlers.rs
+++ b/crates/anvilhook-standin/src/engines/serving/handlers.rs
@@ -1,4 +1,4 @@
-//! The engine's calls.
+//! Handlers of the engine's completion, resume and cancel calls, and the router of all its calls.
 
 use std::sync::Arc;
 
@@ -31,23 +31,23 @@
 use super::texts::whole_text;
 use crate::faults::{Fault, FaultPlan, FaultyAnswers, WholeAnswer, attempt_in, echo, peer_of};
 
-/// The largest body of a request.
+/// The maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// How long a request's body may take.
+/// The maximum time to receive a request body.
 const BODY_TIMEOUT: Millis = Millis::from_secs(30);
 
-/// The priority of a request that names none.
+/// The priority of a request without a priority header.
 const DEFAULT_PRIORITY: u8 = 1;
 
-/// `After` is the query of calls that ask for what comes after a number.
+/// `After` is the query of calls that request the events after a number.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 pub(super) struct After {
     #[serde(default)]
     pub(super) after: u64,
 }
 
-/// Makes the router of an engine.
+/// Creates the router of an engine.
 pub(super) fn router(engine: &Arc<Engine>) -> Router {
     Router::new()
         .route(COMPLETIONS_PATH, post(complete))
@@ -92,7 +92,7 @@
     let ended = reader.end().await;
     faulty.connection.pass().await;
     if !matches!(ended, AttemptEnd::Finished | AttemptEnd::Prefilled) {
-        // An engine that drops a request has no answer to it; its caller sees a closed connection.
+        // A dropped request has no answer: its caller sees a closed connection.
         faulty.connection.close();
         return std::future::pending().await;
     }
--- a/crates/anvilhook-standin/src/engines/serving/hubs.rs
+++ b/crates/anvilhook-standin/src/engines/serving/hubs.rs
@@ -1,4 +1,5 @@
-//! The one place where the engine's server and its state machine meet.
+//! `Hub` connects the engine's server to its state machine: it submits requests, drives the engine
+//! and passes its events to the readers of answers.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -14,13 +15,13 @@
 use super::texts::prompt_digest;
 use crate::engines::{EngineEvent, EngineModel, ModelRequest, Refused, WorkKind};
 
-/// The output's length if the request names none.
+/// The output length of a request that sets none.
 const DEFAULT_OUTPUT: Tokens = Tokens(64);
 
-/// What nobody reads any more is looked for this many times while a stream can be resumed.
+/// The number of sweeps for unread streams and KV caches within one resume window.
 const SWEEPS_PER_WINDOW: u64 = 10;
 
-/// `Prompt` is what the server keeps of a request.
+/// `Prompt` is the part of a request that the server retains.
 #[derive(Clone, Debug)]
 pub(super) struct Prompt {
     pub(super) attempt: AttemptId,
@@ -30,16 +31,16 @@
     pub(super) output: Tokens,
 }
 
-/// `Progress` is how far an attempt has come.
+/// `Progress` is the progress of an attempt.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Progress {
-    /// The tokens generated.
+    /// The number of tokens generated.
     pub(super) produced: u64,
-    /// How it ended, if it has.
+    /// How the attempt ended, if it has.
     pub(super) end: Option<AttemptEnd>,
 }
 
-/// `KvCache` is the small document that stands for an exported KV cache.
+/// `KvCache` is the small document that represents an exported KV cache.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(super) struct KvCache {
     prompt: u64,
@@ -52,9 +53,9 @@
     prompt: Arc<Prompt>,
     progress: watch::Sender<Progress>,
     readers: usize,
-    /// When the last reader left.
+    /// When a reader was last dropped.
     unread_since: Millis,
-    /// Its place in the ledger.
+    /// The index of its record in the ledger.
     record: usize,
 }
 
@@ -69,17 +70,17 @@
     ended: watch::Sender<u64>,
 }
 
-/// `Hub` holds the engine and the attempts that its server knows.
+/// `Hub` holds the engine and the attempts known to its server.
 #[derive(Debug)]
 pub(super) struct Hub {
     clock: SystemClock,
     resume_window: Millis,
     state: Mutex<HubState>,
-    /// Wakes the driver when the engine may have something to do sooner than it knew.
+    /// Wakes the driver when the engine's next event may have moved to an earlier time.
     work: Notify,
 }
 
-/// `Reader` follows one attempt. Dropping it tells the hub that the reader has gone.
+/// `Reader` follows the progress of one attempt. Dropping it deregisters it from the hub.
 #[derive(Debug)]
 pub(super) struct Reader {
     pub(super) prompt: Arc<Prompt>,
@@ -110,7 +111,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Gives the engine a request and returns a reader of its answer.
+    /// Submits a request to the engine and returns a reader of its answer.
     pub(super) fn submit(
         self: &Arc<Self>,
         attempt: AttemptId,
@@ -129,7 +130,7 @@
         let mut state = self.state();
         let work = ModelRequest {
             attempt,
-            kind: state.kind_of(&prompt),
+            kind: state.work_kind(&prompt),
             prompt: prompt.tokens,
             blocks: blocks.into(),
             output: prompt.output,
@@ -157,7 +158,7 @@
         Some(self.reader(&stream.prompt, &stream.progress, true))
     }
 
-    /// Drops an attempt's work and its KV cache.
+    /// Cancels an attempt and removes its KV cache.
     pub(super) fn cancel(&self, attempt: AttemptId, end: AttemptEnd) {
         let now = self.now();
         let mut state = self.state();
@@ -165,10 +166,10 @@
         if state.model.cancel(now, attempt) {
             state.end(attempt, end, now);
         }
-        state.turn(now);
+        state.advance(now);
     }
 
-    /// Waits until an attempt has come and has ended.
+    /// Waits until an attempt has been received and has ended.
     pub(super) async fn ended(&self, attempt: AttemptId) -> AttemptEnd {
         let mut ended = self.state().ended.subscribe();
         loop {
@@ -181,12 +182,12 @@
         }
     }
 
-    /// Runs `act` on the engine, then passes on what came of it.
+    /// Runs `act` on the engine, then applies the resulting events.
     pub(super) fn with_model<T>(&self, act: impl FnOnce(&mut EngineModel, Millis) -> T) -> T {
         let now = self.now();
         let mut state = self.state();
         let done = act(&mut state.model, now);
-        state.turn(now);
+        state.advance(now);
         drop(state);
         self.work.notify_one();
         done
@@ -197,13 +198,13 @@
         self.state().kv.get(&attempt).map(|(_, cache)| cache.clone())
     }
 
-    /// Takes in the KV cache of an attempt whose output is to be generated here.
+    /// Stores the KV cache of an attempt whose output this engine is to generate.
     pub(super) fn import_kv(&self, attempt: AttemptId, cache: KvCache) {
         let now = self.now();
         self.state().kv.insert(attempt, (now, cache));
     }
 
-    /// Ends the process: all that it held in memory is lost.
+    /// Terminates the process: all state in memory is lost.
     pub(super) fn crash(&self) {
         self.with_model(|model, now| model.crash(now));
         let mut state = self.state();
@@ -211,13 +212,13 @@
         state.kv.clear();
     }
 
-    /// Drives the engine. Never ends.
+    /// Drives the engine. Never returns.
     pub(super) async fn drive(&self) {
         loop {
             let now = self.now();
             let next = {
                 let mut state = self.state();
-                state.turn(now);
+                state.advance(now);
                 state.sweep(now, self.sweep_interval(), self.resume_window);
                 let due = state.model.next_event_at().unwrap_or(Millis::MAX);
                 due.min(now + self.sweep_interval())
@@ -250,9 +251,9 @@
 }
 
 impl HubState {
-    /// Says which part of the work a request asks for: only the prompt if no output is wanted, and
-    /// only the output if the prompt's KV cache is here.
-    fn kind_of(&self, prompt: &Prompt) -> WorkKind {
+    /// Returns the kind of work of a request: only prefill if no output is requested, only decode
+    /// if the prompt's KV cache has been imported.
+    fn work_kind(&self, prompt: &Prompt) -> WorkKind {
         let imported = self.kv.get(&prompt.attempt);
         if prompt.output == Tokens(0) {
             WorkKind::Prefill
@@ -263,7 +264,8 @@
         }
     }
 
-    /// Gives the model a request whose attempt is not known yet, also if it has ended.
+    /// Submits a request to the model. Refuses an attempt that is still known, even if it has
+    /// ended.
     fn submit(&mut self, now: Millis, work: ModelRequest) -> Result<(), Refused> {
         if self.streams.contains_key(&work.attempt) {
             return Err(Refused::Duplicate);
@@ -289,14 +291,14 @@
         record.end.map(|(end, _)| end)
     }
 
-    /// Brings the engine up to the present and passes on what happened.
-    fn turn(&mut self, now: Millis) {
+    /// Advances the engine to `now` and applies its events.
+    fn advance(&mut self, now: Millis) {
         for event in self.model.advance(now) {
-            self.pass_on(event);
+            self.apply_event(event);
         }
     }
 
-    fn pass_on(&mut self, event: EngineEvent) {
+    fn apply_event(&mut self, event: EngineEvent) {
         match event {
             EngineEvent::FirstToken { attempt, .. } => self.produced(attempt, 1),
             EngineEvent::Token { attempt, index, .. } => self.produced(attempt, index),
@@ -311,7 +313,7 @@
                 self.end(attempt, AttemptEnd::Prefilled, at);
             }
             EngineEvent::Cut { attempt, at, .. } => self.end(attempt, AttemptEnd::Cut, at),
-            // Whoever cancels says why, and ends the attempt itself.
+            // The code that cancels an attempt knows the reason and ends the attempt itself.
             EngineEvent::Cancelled { .. } | EngineEvent::OrderDone { .. } => {}
         }
     }
@@ -329,7 +331,8 @@
         self.ended.send_modify(|ended| *ended += 1);
     }
 
-    /// Forgets what nobody has read for as long as a stream can be resumed.
+    /// Removes the KV caches older than the resume window, and the streams without a reader for
+    /// that long.
     fn sweep(&mut self, now: Millis, interval: Millis, resume_window: Millis) {
         if now - self.swept_at < interval {
             return;
@@ -352,12 +355,12 @@
 }
 
 impl Reader {
-    /// Waits until the attempt has come further than `produced` tokens or has ended.
-    pub(super) async fn further_than(&mut self, produced: u64) -> Progress {
-        let further = |progress: &Progress| progress.produced > produced || progress.end.is_some();
-        match self.progress.wait_for(further).await {
+    /// Waits until the attempt has generated more than `produced` tokens or has ended.
+    pub(super) async fn wait_beyond(&mut self, produced: u64) -> Progress {
+        let advanced = |progress: &Progress| progress.produced > produced || progress.end.is_some();
+        match self.progress.wait_for(advanced).await {
             Ok(progress) => *progress,
-            // The hub forgets attempts in a crash.
+            // A crash clears the hub's streams, which closes the channel.
             Err(_closed) => Progress { produced, end: Some(AttemptEnd::Cut) },
         }
     }
@@ -383,7 +386,7 @@
             return;
         }
 
-        // Nobody can read the answer any more.
+        // No reader is left, and the answer cannot be resumed.
         if state.model.cancel(now, attempt) {
             state.end(attempt, AttemptEnd::Abandoned, now);
         }
--- a/crates/anvilhook-standin/src/engines/serving/mod.rs
+++ b/crates/anvilhook-standin/src/engines/serving/mod.rs
@@ -1,4 +1,4 @@
-//! The engine behind HTTP, as `anvilhook_engine::wire` says.
+//! The engine's HTTP server, which implements `anvilhook_engine::wire`.
 
 mod controls;
 mod feeds;
--- a/crates/anvilhook-standin/src/engines/serving/pulls.rs
+++ b/crates/anvilhook-standin/src/engines/serving/pulls.rs
@@ -13,28 +13,28 @@
 
 use super::hubs::KvCache;
 
-/// The longest time to the head of an export, and again to its end.
+/// The timeout for the head of an export's response, and again for its body.
 const EXPORT_TIMEOUT: Millis = Millis::from_secs(1);
 
-/// The largest document that stands for a KV cache.
+/// The maximum size of the document that represents a KV cache, in bytes.
 const MAX_EXPORT_BYTES: usize = 4_096;
 
-/// `PullError` says why a KV cache could not be fetched.
+/// `PullError` is the reason why a KV cache could not be fetched.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub(super) enum PullError {
-    /// The other engine has none of the attempt.
+    /// The other engine has no KV cache of the attempt.
     NotThere,
-    /// The other engine did not answer as it should.
+    /// The call failed, or the other engine's response was invalid.
     Failed(String),
 }
 
-/// `KvPuller` fetches KV caches.
+/// `KvPuller` fetches KV caches from other engines.
 pub(super) struct KvPuller {
     client: HttpClient,
 }
 
 impl KvPuller {
-    /// Makes a puller with connections of its own.
+    /// Creates a puller with its own connection pool.
     pub(super) fn try_new() -> Result<Self, CallError> {
         Ok(Self { client: HttpClient::try_new(&ClientOptions::default())? })
     }
@@ -54,7 +54,7 @@
         let (parts, body) = answer.map_err(|err| failed(&err))?.into_parts();
         let echo = parts.headers.get(ATTEMPT_HEADER).and_then(|echo| echo.to_str().ok());
         if echo.and_then(|echo| echo.parse().ok()) != Some(attempt) {
-            return Err(failed(&"it echoes another call"));
+            return Err(failed(&"the response echoes another attempt's id"));
         }
         match parts.status {
             StatusCode::OK => {}
--- a/crates/anvilhook-standin/src/engines/serving/servers.rs
+++ b/crates/anvilhook-standin/src/engines/serving/servers.rs
@@ -1,4 +1,4 @@
-//! Starting and steering an engine's server.
+//! `EngineServer`: starts an engine's HTTP server and controls it and its faults.
 
 use std::collections::VecDeque;
 use std::io;
@@ -18,28 +18,28 @@
 use crate::engines::{EngineModel, EngineOptions, OrderRecord};
 use crate::faults::{Front, FrontOptions, Switches};
 
-/// `OrderFault` is what can go wrong with one order.
+/// `OrderFault` is a fault in the delivery of one order.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum OrderFault {
-    /// The order reaches the engine only at `EngineServer::release_orders`, also if its sender has
-    /// given up by then.
+    /// The order reaches the engine only at `EngineServer::release_orders`, even if its sender has
+    /// timed out by then.
     HeldBack,
-    /// The order takes effect, and its answer comes late.
+    /// The order takes effect, and its answer is sent after this delay.
     AnsweredLate(Millis),
-    /// The order takes effect, and its answer never comes.
+    /// The order takes effect, and the connection is closed without an answer.
     AnswerLost,
 }
 
-/// `EngineServerOptions` describes an engine behind HTTP.
+/// `EngineServerOptions` configures an engine and its HTTP server.
 #[derive(Clone, Debug)]
 pub struct EngineServerOptions {
-    /// Where and how it listens.
+    /// The options of the listener.
     pub front: FrontOptions,
-    /// The engine.
+    /// The options of the engine.
     pub engine: EngineOptions,
-    /// The clock of its logs. Stand-ins that share it can be compared.
+    /// The clock of the engine's logs. Logs of stand-ins that share a clock are comparable.
     pub clock: SystemClock,
-    /// How long a stream is kept that nobody reads.
+    /// The time for which a stream without a reader is retained.
     pub resume_window: Millis,
 }
 
@@ -54,7 +54,7 @@
     }
 }
 
-/// `Engine` is what the server's calls share.
+/// `Engine` is the state shared by the handlers of the server's calls.
 #[derive(Debug)]
 pub(super) struct Engine {
     pub(super) hub: Arc<Hub>,
@@ -65,18 +65,18 @@
     loses_kv: AtomicBool,
     pull_count: AtomicU64,
     order_faults: Mutex<VecDeque<OrderFault>>,
-    /// Changes when orders that are held back are let go.
+    /// Signals that orders that are held back are released.
     releases: watch::Sender<()>,
 }
 
-/// `EngineServer` is a handle on a running engine. Clones steer the same one.
+/// `EngineServer` is a handle on a running engine. Clones control the same engine.
 #[derive(Clone, Debug)]
 pub struct EngineServer {
     engine: Arc<Engine>,
 }
 
 impl EngineServer {
-    /// Starts an engine on tasks of the present runtime.
+    /// Starts an engine on tasks of the current runtime.
     ///
     /// # Errors
     ///
@@ -84,7 +84,7 @@
     pub async fn start(opts: EngineServerOptions) -> io::Result<Self> {
         let binding = Front::bind(&opts.front).await?;
         let front = binding.front().clone();
-        // A stream has an event for each token.
+        // A streamed answer needs an event for each token.
         let options = EngineOptions { token_events: true, ..opts.engine };
         let model = EngineModel::new(options, opts.clock.now());
         let engine = Arc::new(Engine {
@@ -110,49 +110,49 @@
         Ok(Self { engine })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.engine.front.address()
     }
 
-    /// Returns the server's port, its connections and the faults of completions.
+    /// Returns the handle on the server's port, its connections and the faults of completions.
     pub fn front(&self) -> &Front {
         &self.engine.front
     }
 
-    /// Returns the faults of resumed streams.
+    /// Returns the fault switches of resumed streams.
     pub fn resumes(&self) -> &Switches {
         &self.engine.resumes
     }
 
-    /// Returns the faults of calls that have this engine pull a KV cache.
+    /// Returns the fault switches of the calls that make this engine fetch a KV cache.
     pub fn pulls(&self) -> &Switches {
         &self.engine.pulls
     }
 
-    /// Returns how many calls to pull a KV cache have reached the engine.
+    /// Returns how many calls to fetch a KV cache from another engine have reached this engine.
     pub fn pull_count(&self) -> u64 {
         self.engine.pull_count.load(Ordering::Acquire)
     }
 
-    /// Sets whether KV caches are gone before another engine can fetch them.
+    /// Sets whether the engine answers every KV export as not found, as if the cache were lost.
     pub fn set_loses_kv(&self, loses: bool) {
         self.engine.loses_kv.store(loses, Ordering::Release);
     }
 
-    /// Has the fault meet the next order that no other is planned for.
+    /// Plans the fault for the next order that has no planned fault yet.
     pub fn next_order(&self, fault: OrderFault) {
         let mut faults = self.engine.order_faults.lock().unwrap_or_else(PoisonError::into_inner);
         faults.push_back(fault);
     }
 
-    /// Lets all orders go that are held back.
+    /// Releases all orders that are held back.
     pub fn release_orders(&self) {
         self.engine.releases.send_replace(());
     }
 
-    /// Ends the engine's process: connections are reset, new ones refused, and what it held in
-    /// memory is lost.
+    /// Terminates the engine's process: connections are reset, new ones are refused, and the state
+    /// in memory is lost.
     pub async fn crash(&self) {
         self.engine.crash().await;
     }
@@ -163,27 +163,27 @@
         self.engine.front.refuse_connections(false).await;
     }
 
-    /// Sets whether the engine says that it is leaving.
+    /// Sets whether the engine reports that it is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.engine.hub.with_model(|model, now| model.set_leaving(now, leaving));
     }
 
-    /// Returns all attempts that reached the engine, in order, over all its starts.
+    /// Returns all attempts that reached the engine since its first start, in order.
     pub fn attempts(&self) -> Vec<AttemptRecord> {
         self.engine.hub.state().ledger.clone()
     }
 
-    /// Waits until an attempt has reached the engine and has ended, and says how.
+    /// Waits until an attempt has reached the engine and has ended, and returns how it ended.
     pub async fn ended(&self, attempt: AttemptId) -> AttemptEnd {
         self.engine.hub.ended(attempt).await
     }
 
-    /// Returns the attempts that are open.
+    /// Returns the open attempts, sorted.
     pub fn open_attempts(&self) -> Vec<AttemptId> {
         self.engine.hub.state().model.open_attempts()
     }
 
-    /// Returns all orders that reached the engine, in order, over all its starts.
+    /// Returns all orders that reached the engine since its first start, in order.
     pub fn orders(&self) -> Vec<OrderRecord> {
         self.engine.hub.state().model.orders().to_vec()
     }
@@ -200,8 +200,8 @@
         self.front.crash().await;
     }
 
-    /// Waits until orders that are held back are let go.
-    pub(super) async fn released(&self) {
+    /// Waits until orders that are held back are released.
+    pub(super) async fn wait_for_release(&self) {
         // The sender lives in `self`, so the channel cannot close during the wait.
         let _ = self.releases.subscribe().changed().await;
     }
--- a/crates/anvilhook-standin/src/engines/serving/texts.rs
+++ b/crates/anvilhook-standin/src/engines/serving/texts.rs
@@ -1,14 +1,14 @@
-//! The output of a stand-in engine: a text that follows from the prompt, so that an answer to
-//! another prompt is detected.
+//! The output text of a stand-in engine. It is derived from the prompt, so that checks detect an
+//! answer to another prompt.
 
 use anvilhook_core::units::Tokens;
 use anvilhook_engine::wire::ChatMessage;
 use sha2::{Digest, Sha256};
 
-/// Spreads the number of a token over all bits.
+/// A multiplier that spreads the number of a token over all bits.
 const SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Returns a number that stands for the prompt.
+/// Returns a digest of the prompt.
 pub fn prompt_digest(messages: &[ChatMessage]) -> u64 {
     let mut hasher = Sha256::new();
     for message in messages {
@@ -39,7 +39,7 @@
     whole_text(prompt_digest(messages), output.0)
 }
 
-/// Returns the output's first tokens.
+/// Returns the first `tokens` tokens of the output.
 pub(super) fn whole_text(digest: u64, tokens: u64) -> String {
     (1..=tokens).map(|index| token_text(digest, index)).collect()
 }
--- a/crates/anvilhook-standin/src/engines/setups.rs
+++ b/crates/anvilhook-standin/src/engines/setups.rs
@@ -1,4 +1,4 @@
-//! What an engine is set up for, and the order that is changing it.
+//! The role, model and adapters of an engine, and the order that is changing them.
 
 use anvilhook_core::names::ModelName;
 use anvilhook_core::orders::{ModelRef, Order, OrderReply, Role, Stamp, StampedOrder};
@@ -12,11 +12,12 @@
 pub(super) struct RunningOrder {
     pub(super) order: StampedOrder,
     pub(super) done_at: Millis,
-    /// Its place in the log of orders.
+    /// The index of its record in the order log.
     pub(super) record: usize,
 }
 
-/// `Setup` is an engine's role, model and adapters.
+/// `Setup` holds an engine's role, model and adapters, its last accepted stamp and the running
+/// order.
 #[derive(Clone, Debug)]
 pub(super) struct Setup {
     pub(super) role: Role,
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Returns the model, which is not served while another is being loaded in its place.
+    /// Returns the model that is served, or `None` while another model is being loaded.
     pub(super) fn served_model(&self) -> Option<ModelRef> {
         match self.running.as_ref().map(|running| &running.order.order) {
             Some(Order::LoadModel { .. }) => None,
@@ -45,9 +46,9 @@
         }
     }
 
-    /// Checks that this kind of work can be taken now.
+    /// Checks that the engine can accept this kind of work now.
     pub(super) fn check(&self, kind: WorkKind) -> Result<(), Refused> {
-        if self.running.as_ref().is_some_and(|running| takes_engine(&running.order.order)) {
+        if self.running.as_ref().is_some_and(|running| suspends_serving(&running.order.order)) {
             return Err(Refused::Changing);
         }
         if self.model.is_none() {
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Says whether an order is taken.
+    /// Returns the reply to an order: accepted, fenced or refused.
     pub(super) fn reply_to(&self, order: &StampedOrder, checks_fencing: bool) -> OrderReply {
         if checks_fencing && order.stamp <= self.last_stamp {
             return OrderReply::Fenced { last: self.last_stamp };
@@ -72,8 +73,8 @@
         OrderReply::Accepted
     }
 
-    /// Returns whether everything is already as the order asks.
-    pub(super) fn is_as_asked(&self, order: &Order) -> bool {
+    /// Returns whether the order's desired state is already reached.
+    pub(super) fn is_satisfied(&self, order: &Order) -> bool {
         match order {
             Order::SetRole { role } => self.role == *role,
             Order::LoadModel { model } => self.model.as_ref() == Some(model),
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Makes everything as the order asks.
+    /// Applies the order's desired state.
     pub(super) fn apply(&mut self, order: &Order) {
         match order {
             Order::SetRole { role } => self.role = *role,
@@ -93,23 +94,23 @@
         }
     }
 
-    /// Forgets what a process only holds in memory.
-    pub(super) fn forget(&mut self) {
+    /// Clears the state that a process holds only in memory.
+    pub(super) fn clear_volatile(&mut self) {
         self.adapters.clear();
         self.last_stamp = Stamp::default();
     }
 }
 
-/// Returns whether the engine serves nothing while it carries the order out.
-pub(super) fn takes_engine(order: &Order) -> bool {
+/// Returns whether the engine stops serving requests while it carries out the order.
+pub(super) fn suspends_serving(order: &Order) -> bool {
     match order {
         Order::SetRole { .. } | Order::LoadModel { .. } => true,
         Order::LoadAdapter { .. } => false,
     }
 }
 
-/// Returns how long carrying the order out takes.
-pub(super) fn time_of(order: &Order, opts: &EngineOptions) -> Millis {
+/// Returns the time that the engine needs to carry out the order.
+pub(super) fn duration_of(order: &Order, opts: &EngineOptions) -> Millis {
     match order {
         Order::SetRole { .. } => opts.role_change,
         Order::LoadModel { .. } => opts.model_load,
