--- a/crates/anvilhook-standin/src/platform/counts.rs
+++ b/crates/anvilhook-standin/src/platform/counts.rs
@@ -1,15 +1,15 @@
-//! Counts of what the platform was asked for.
+//! Counters of the calls made to the platform.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// `Counts` is what the platform was asked for so far.
+/// `Counts` is a snapshot of the numbers of calls made to the platform.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Counts {
     /// Reads of one row that were carried out.
     pub reads: u64,
     /// Scans that were carried out.
     pub scans: u64,
-    /// Transactions that were carried out, those that met a conflict among them.
+    /// Transactions that were carried out, including those that met a conflict.
     pub commits: u64,
     /// Transactions that met a conflict.
     pub conflicts: u64,
@@ -39,7 +39,7 @@
     Lost,
 }
 
-/// `Counters` are the live counts.
+/// `Counters` holds the current value of each counter.
 #[derive(Debug, Default)]
 pub(super) struct Counters([AtomicU64; 9]);
 
--- a/crates/anvilhook-standin/src/platform/faults.rs
+++ b/crates/anvilhook-standin/src/platform/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the platform, set while it runs.
+//! Faults of the platform, which can be changed while it runs.
 
 use std::collections::VecDeque;
 use std::iter::repeat_n;
@@ -23,39 +23,39 @@
 /// The number of services.
 const SERVICES: usize = 3;
 
-/// `Reach` is whether calls come through.
+/// `Reach` indicates whether calls reach a service.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Reach {
-    /// Calls come through.
+    /// Calls reach the service.
     #[default]
     Up,
     /// Calls are refused at once and have no effect, as when nothing listens.
     Refusing,
-    /// Calls wait until the reach changes, then go on, as when a service stalls.
+    /// Calls wait until the reach changes and then continue, as when a service stalls.
     Hanging,
-    /// Calls have no effect and their callers hear nothing, as in a network partition. With stepped
-    /// pacing callers hear at once that the answer is lost, so that a test needs no timeout.
+    /// Calls have no effect and their callers receive no answer, as in a network partition. With
+    /// stepped pacing, calls fail at once with a lost answer, so that a test needs no timeout.
     Cut,
 }
 
-/// `Loss` is where a lost answer leaves the effect of its call.
+/// `Loss` indicates whether and when a call whose answer is lost takes effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Loss {
     /// The call had no effect.
     BeforeEffect,
     /// The call took effect.
     AfterEffect,
-    /// The call takes effect later, at `LocalPlatform::land_late_writes`, perhaps after the caller
-    /// has read back that it did not.
+    /// The call takes effect later, at `LocalPlatform::land_late_writes`. By then the caller may
+    /// have read back that it had no effect.
     LateEffect,
 }
 
-/// `PlatformFaults` is a handle on the faults of the whole platform, or of one caller's view of it.
+/// `PlatformFaults` is a handle on the faults of the whole platform or of one caller's view of it.
 /// Clones share the faults.
 #[derive(Clone, Debug, Default)]
 pub struct PlatformFaults {
     state: Arc<Mutex<FaultState>>,
-    /// Wakes calls that wait, after every change.
+    /// Wakes waiting calls after every change.
     changes: watch::Sender<()>,
 }
 
@@ -63,7 +63,7 @@
 struct FaultState {
     reach: [Reach; SERVICES],
     delay: Millis,
-    /// What becomes of the answers of the next writes; none lets one pass.
+    /// The losses planned for the answers of the next writes; `None` delivers the answer.
     write_losses: VecDeque<Option<Loss>>,
     read_losses: usize,
     limits: Option<RateLimits>,
@@ -71,63 +71,64 @@
     reads: RateWindow,
 }
 
-/// `Access` is what a call wants.
+/// `Access` describes the access that a call makes.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Access {
     pub(super) service: Service,
-    /// The rows or objects that it writes; zero for a read.
+    /// The number of rows or objects that the call writes; zero for a read.
     pub(super) writes: u32,
 }
 
-/// `Decision` is what becomes of a call.
+/// `Decision` is the way in which a call is handled.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Decision {
-    /// It is carried out, and its answer perhaps lost.
+    /// The call is carried out; its answer is lost if a loss is given.
     Serve(Option<Loss>),
-    /// It is refused without effect.
+    /// The call is refused without effect.
     Refuse(&'static str),
-    /// It has no effect and its answer never comes.
-    Cut,
-    /// It waits until the faults change.
+    /// The call has no effect and is never answered.
+    Partition,
+    /// The call waits until the faults change.
     Wait,
-    /// It waits until a time.
+    /// The call waits until this time.
     WaitUntil(Millis),
 }
 
 impl PlatformFaults {
-    /// Sets whether calls of all services come through.
+    /// Sets whether calls reach the services.
     pub fn set_reach(&self, reach: Reach) {
         self.change(|state| state.reach = [reach; SERVICES]);
     }
 
-    /// Sets whether calls of one service come through.
+    /// Sets whether calls reach one service.
     pub fn set_reach_of(&self, service: Service, reach: Reach) {
         self.change(|state| state.reach[service as usize] = reach);
     }
 
-    /// Sets how long each call waits before it is carried out. Calls that wait already keep their
-    /// time.
+    /// Sets how long each call waits before it is carried out. Calls that already wait for a delay
+    /// are not affected.
     pub fn set_delay(&self, delay: Millis) {
         self.change(|state| state.delay = delay);
     }
 
-    /// Loses the answers of the next `count` writes that come through, after those lost already.
+    /// Plans to lose the answers of `count` writes that reach the service, after those already
+    /// planned.
     pub fn lose_next_writes(&self, count: usize, loss: Loss) {
         self.change(|state| state.write_losses.extend(repeat_n(Some(loss), count)));
     }
 
-    /// Lets the answers of the next `count` writes pass, after those set already and before those
-    /// set next.
+    /// Plans to deliver the answers of `count` writes, after those already planned. Losses planned
+    /// later apply to the writes that follow.
     pub fn pass_next_writes(&self, count: usize) {
         self.change(|state| state.write_losses.extend(repeat_n(None, count)));
     }
 
-    /// Loses the answers of the next `count` reads that come through.
+    /// Plans to lose the answers of `count` more reads that reach the service.
     pub fn lose_next_reads(&self, count: usize) {
         self.change(|state| state.read_losses += count);
     }
 
-    /// Sets the rates past which calls of the table are refused; without them all pass.
+    /// Sets the rates beyond which calls of the table are refused; `None` removes the limits.
     pub fn set_rate_limits(&self, limits: Option<RateLimits>) {
         self.change(|state| state.limits = limits);
     }
@@ -137,30 +138,30 @@
         self.change(|state| *state = FaultState::default());
     }
 
-    /// Lets calls that wait for a time look at the clock again, after a test has advanced it.
+    /// Makes calls that wait for a delay check the clock again, after a test has advanced it.
     pub fn step(&self) {
         self.change(|_| ());
     }
 
-    /// Returns how many calls are held back by these faults, so that a test knows that a call has
-    /// arrived before it goes on.
+    /// Returns how many calls these faults currently delay. Tests use this to wait until a call has
+    /// arrived.
     pub fn waiting_calls(&self) -> usize {
         self.changes.receiver_count()
     }
 
-    /// Watches for changes from now on.
+    /// Returns a receiver that is notified of changes from now on.
     pub(super) fn subscribe(&self) -> watch::Receiver<()> {
         self.changes.subscribe()
     }
 
-    /// Decides what becomes of a call. `due` keeps the time that the call waits for.
+    /// Decides how to handle a call. `due` stores the end of the call's delay between decisions.
     pub(super) fn decide(&self, now: Millis, access: Access, due: &mut Option<Millis>) -> Decision {
         let mut state = self.lock();
         match state.reach[access.service as usize] {
             Reach::Up => (),
             Reach::Refusing => return Decision::Refuse("the platform is down"),
             Reach::Hanging => return Decision::Wait,
-            Reach::Cut => return Decision::Cut,
+            Reach::Cut => return Decision::Partition,
         }
         let due = *due.get_or_insert(now + state.delay);
         if now < due {
@@ -178,7 +179,7 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, FaultState> {
-        // The state is whole after every statement, so a panicking test leaves it usable.
+        // The state is consistent after every statement, so it is usable after a panic in a test.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/anvilhook-standin/src/platform/instance_lists.rs
+++ b/crates/anvilhook-standin/src/platform/instance_lists.rs
@@ -1,4 +1,4 @@
-//! The lagging instance list as a state machine.
+//! The instance list as a state machine that shows changes with a lag.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 use anvilhook_core::units::Millis;
 use anvilhook_platform::ListedInstance;
 
-/// `InstanceListState` holds the history of the list and shows it as it was some time ago.
+/// `InstanceListState` holds the history of the list and returns its state of some time ago.
 ///
 /// ```
 /// use anvilhook_core::names::{UpstreamName, ZoneName};
@@ -35,40 +35,40 @@
 struct ListEvent {
     at: Millis,
     name: UpstreamName,
-    /// The new line; none if the instance vanished from the list.
-    line: Option<ListedInstance>,
+    /// The instance's new entry; `None` if it was removed from the list.
+    entry: Option<ListedInstance>,
 }
 
 impl InstanceListState {
-    /// Makes an empty list that shows each event `lag` late.
+    /// Creates an empty list that shows each change after `lag`.
     pub fn new(lag: Millis) -> Self {
         Self { lag, events: Vec::new() }
     }
 
-    /// Changes how late events are shown.
+    /// Sets the lag after which changes are shown.
     pub fn set_lag(&mut self, lag: Millis) {
         self.lag = lag;
     }
 
-    /// Enters an instance, or changes its line.
-    pub fn enter(&mut self, now: Millis, line: ListedInstance) {
-        let name = line.name.clone();
-        self.events.push(ListEvent { at: now, name, line: Some(line) });
+    /// Adds an instance or updates its entry.
+    pub fn enter(&mut self, now: Millis, entry: ListedInstance) {
+        let name = entry.name.clone();
+        self.events.push(ListEvent { at: now, name, entry: Some(entry) });
     }
 
-    /// Takes an instance off the list without a word about its fate.
+    /// Removes an instance from the list without giving its status.
     pub fn remove(&mut self, now: Millis, name: &UpstreamName) {
-        self.events.push(ListEvent { at: now, name: name.clone(), line: None });
+        self.events.push(ListEvent { at: now, name: name.clone(), entry: None });
     }
 
-    /// Returns the list as it was `lag` before `now`, in the order of names.
+    /// Returns the list as it was `lag` before `now`, sorted by name.
     pub fn list(&self, now: Millis) -> Vec<ListedInstance> {
-        let mut lines = BTreeMap::new();
-        // An event is shown once its whole lag has passed; addition keeps the start of the clock
-        // from showing events that happened at zero.
+        let mut entries = BTreeMap::new();
+        // An event is shown after its full lag. `now - lag` would saturate at zero and show events
+        // of time zero too early, so the lag is added to the event's time.
         for event in self.events.iter().filter(|event| event.at + self.lag <= now) {
-            lines.insert(&event.name, &event.line);
+            entries.insert(&event.name, &event.entry);
         }
-        lines.into_values().flatten().cloned().collect()
+        entries.into_values().flatten().cloned().collect()
     }
 }
--- a/crates/anvilhook-standin/src/platform/local.rs
+++ b/crates/anvilhook-standin/src/platform/local.rs
@@ -1,4 +1,4 @@
-//! The platform within the process.
+//! `LocalPlatform`: access to the stand-in platform within the process.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -17,35 +17,35 @@
 use super::objects::ObjectStoreState;
 use super::tables::TableState;
 
-/// `Pacing` is how a call waits for a delay to pass.
+/// `Pacing` is the way in which a call waits for a delay to pass.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub enum Pacing {
-    /// Until a test has advanced the clock and called `PlatformFaults::step`.
+    /// The call waits until a test has advanced the clock and called `PlatformFaults::step`.
     #[default]
     Stepped,
-    /// By the runtime's timer, under the machine's clock.
+    /// The call waits on the runtime's timer, under the machine's clock.
     Timed,
 }
 
-/// `PlatformOptions` sets up a stand-in.
+/// `PlatformOptions` configures a stand-in platform.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlatformOptions {
-    /// How late the instance list shows an event.
+    /// The lag after which the instance list shows a change.
     pub list_lag: Millis,
-    /// How calls wait for a delay.
+    /// The way in which calls wait for a delay.
     pub pacing: Pacing,
 }
 
-/// `LocalPlatform` reaches the platform's state machines within the process.
+/// `LocalPlatform` accesses the platform's state machines within the process.
 ///
-/// Clones and callers' views share one platform. Each caller's view has faults and counts of its
-/// own, so that one instance can be cut off alone.
+/// Clones and callers' views share one platform. Each caller's view has its own faults and counts,
+/// so that a single instance can be partitioned from the platform.
 #[derive(Clone, Debug)]
 pub struct LocalPlatform<C> {
     clock: C,
     pacing: Pacing,
     shared: Arc<Shared>,
-    /// The view of one caller; none for the platform itself.
+    /// The caller of this view; `None` for the platform itself.
     caller: Option<Arc<Caller>>,
 }
 
@@ -71,7 +71,8 @@
     instances: InstanceListState,
 }
 
-/// `LateWrite` is a write whose caller has heard that the answer is lost, and that is yet to land.
+/// `LateWrite` is a write that has yet to take effect, after its caller was notified of a lost
+/// answer.
 struct LateWrite(Effect);
 
 type Effect = Box<dyn FnOnce(&mut Services, Millis) + Send>;
@@ -83,15 +84,15 @@
 }
 
 impl<C: Clock> LocalPlatform<C> {
-    /// Makes an empty platform.
+    /// Creates an empty platform.
     pub fn new(clock: C, options: PlatformOptions) -> Self {
         let shared = Shared::default();
         lock(&shared.services).instances.set_lag(options.list_lag);
         Self { clock, pacing: options.pacing, shared: Arc::new(shared), caller: None }
     }
 
-    /// Returns a caller's view of the platform, with faults and counts of its own beside those of
-    /// the platform.
+    /// Returns a caller's view of the platform, with its own faults and counts in addition to those
+    /// of the platform.
     pub fn for_caller(&self, name: &str) -> Self {
         let caller = Caller {
             name: name.to_owned(),
@@ -101,37 +102,37 @@
         Self { caller: Some(Arc::new(caller)), ..self.clone() }
     }
 
-    /// Returns the faults of this view: the caller's, or those of the whole platform.
+    /// Returns the faults of this view: those of its caller, or else those of the whole platform.
     pub fn faults(&self) -> PlatformFaults {
         self.caller.as_ref().map_or(&self.shared.faults, |caller| &caller.faults).clone()
     }
 
-    /// Returns what this view was used for: by its caller, or by all.
+    /// Returns the counts of this view: those of its caller, or else those of all callers.
     pub fn counts(&self) -> Counts {
         self.caller.as_ref().map_or(&self.shared.counters, |caller| &caller.counters).snapshot()
     }
 
-    /// Enters an instance into the list, or changes its line, past all faults.
-    pub fn enter_instance(&self, line: ListedInstance) {
-        lock(&self.shared.services).instances.enter(self.clock.now(), line);
+    /// Adds an instance to the list or updates its entry. No fault applies.
+    pub fn enter_instance(&self, entry: ListedInstance) {
+        lock(&self.shared.services).instances.enter(self.clock.now(), entry);
     }
 
-    /// Takes an instance off the list without a word about its fate, past all faults.
+    /// Removes an instance from the list without giving its status. No fault applies.
     pub fn remove_instance(&self, name: &UpstreamName) {
         lock(&self.shared.services).instances.remove(self.clock.now(), name);
     }
 
-    /// Changes how late the list shows an event.
+    /// Sets the lag after which the list shows a change.
     pub fn set_list_lag(&self, lag: Millis) {
         lock(&self.shared.services).instances.set_lag(lag);
     }
 
-    /// Returns the rows whose keys begin with `prefix`, past all faults and counts.
+    /// Returns the rows whose keys begin with `prefix`. No fault applies and nothing is counted.
     pub fn rows(&self, prefix: &str) -> Vec<Row> {
         lock(&self.shared.services).table.scan(prefix, None, usize::MAX)
     }
 
-    /// Lands the writes that were lost with a late effect, in order, and returns their number.
+    /// Applies the writes lost with `Loss::LateEffect`, in order, and returns their number.
     pub fn land_late_writes(&self) -> usize {
         let late = std::mem::take(&mut *lock(&self.shared.late));
         let landed = late.len();
@@ -142,7 +143,7 @@
         landed
     }
 
-    /// Passes a call through the faults of the caller and of the platform, and carries it out.
+    /// Applies the faults of the caller and of the platform to a call, and carries it out.
     async fn call<T>(
         &self,
         access: Access,
@@ -150,10 +151,10 @@
     ) -> Result<T> {
         let mut loss = None;
         if let Some(caller) = &self.caller {
-            loss = self.arrive(&caller.faults, access).await?;
+            loss = self.pass_faults(&caller.faults, access).await?;
         }
         if loss.is_none() {
-            loss = self.arrive(&self.shared.faults, access).await?;
+            loss = self.pass_faults(&self.shared.faults, access).await?;
         }
 
         let outcome = match loss {
@@ -174,18 +175,18 @@
         Err(self.lost(outcome))
     }
 
-    /// Waits as the faults demand, and returns how the answer is lost, if it is.
-    async fn arrive(&self, faults: &PlatformFaults, access: Access) -> Result<Option<Loss>> {
+    /// Waits as the faults require and returns how the answer is lost, if it is.
+    async fn pass_faults(&self, faults: &PlatformFaults, access: Access) -> Result<Option<Loss>> {
         let mut due = None;
         loop {
-            // Changes are watched from before the decision, so that none between the decision and
-            // the wait is missed.
+            // Subscribes before the decision, so that a change between the decision and the wait is
+            // not missed.
             let mut changes = faults.subscribe();
             let now = self.clock.now();
             match faults.decide(now, access, &mut due) {
                 Decision::Serve(loss) => return Ok(loss),
                 Decision::Refuse(why) => return Err(self.refused(why)),
-                Decision::Cut => {
+                Decision::Partition => {
                     if self.pacing == Pacing::Timed {
                         wait_for_change(&mut changes).await;
                     }
@@ -255,7 +256,7 @@
     async fn commit(&self, txn: &Transaction) -> Result<Commit> {
         let txn = txn.clone();
         let this = self.clone();
-        // A transaction that only checks conditions still costs the service one write.
+        // A transaction that only checks conditions costs the service one write.
         let access = Access { service: Service::Table, writes: txn.writes.len().max(1) as u32 };
         self.call(access, move |services, _| {
             let commit = services.table.commit(&txn);
@@ -319,13 +320,13 @@
 
 async fn wait_for_change(changes: &mut watch::Receiver<()>) {
     if changes.changed().await.is_err() {
-        // The faults live as long as the platform that this call holds, so this is never reached;
-        // pending is the honest end of a wait for what cannot come.
+        // Not reached: the platform that this call holds keeps the sender alive. Without a sender
+        // no change can pass_faults, so the wait would never end.
         std::future::pending::<()>().await;
     }
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    // Each critical section leaves its value whole, so a panicking test leaves it usable.
+    // Each critical section leaves its value consistent, so it is usable after a panic in a test.
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/crates/anvilhook-standin/src/platform/mod.rs
+++ b/crates/anvilhook-standin/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The platform's stand-in: a transactional table, an object store and a lagging instance list.
+//! The stand-in platform: a transactional table, an object store and an instance list with a lag.
 //!
-//! The services are state machines that are told the time. `LocalPlatform` reaches them within the
-//! process, `PlatformServer` over HTTP; both pass every call through the same faults.
+//! The services are state machines. `LocalPlatform` gives access to them within the process,
+//! `PlatformServer` over HTTP. Both apply the same faults to every call.
 //!
 //! ```
 //! use anvilhook_core::units::ManualClock;
@@ -17,7 +17,7 @@
 //!     writes: vec![Write::Put { key: key.clone(), value: "1".into() }],
 //! };
 //!
-//! // The next answer is lost after the write took effect; a read back shows it.
+//! // The next answer is lost after the write takes effect; a read back shows the row.
 //! platform.faults().lose_next_writes(1, Loss::AfterEffect);
 //! assert!(platform.commit(&txn).await.is_err());
 //! assert_eq!(platform.read(&key).await.unwrap().unwrap().value, "1");
--- a/crates/anvilhook-standin/src/platform/objects.rs
+++ b/crates/anvilhook-standin/src/platform/objects.rs
@@ -11,12 +11,12 @@
 }
 
 impl ObjectStoreState {
-    /// Stores an object, in place of an earlier one.
+    /// Stores an object and replaces an earlier one under the same key.
     pub fn put(&mut self, key: &str, value: Bytes) {
         self.objects.insert(key.to_owned(), value);
     }
 
-    /// Returns an object, if it is there.
+    /// Returns an object, if it exists.
     pub fn get(&self, key: &str) -> Option<Bytes> {
         self.objects.get(key).cloned()
     }
--- a/crates/anvilhook-standin/src/platform/rate_limits.rs
+++ b/crates/anvilhook-standin/src/platform/rate_limits.rs
@@ -1,16 +1,16 @@
-//! The rates beyond which the platform refuses.
+//! The rate limits of the platform's table.
 
 use anvilhook_core::units::Millis;
 
-/// The length of a rate's window.
+/// The length of a rate limit's window.
 const WINDOW: Millis = Millis::from_secs(1);
 
-/// `RateLimits` is what the table service carries in a second; calls past that are refused.
+/// `RateLimits` sets the rates beyond which the table service refuses calls.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RateLimits {
-    /// Rows written in a second.
+    /// The rows written per second.
     pub writes_per_s: u32,
-    /// Reads in a second; a scan counts as one.
+    /// The reads per second; a scan counts as one.
     pub reads_per_s: u32,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// `RateWindow` counts what was taken in the present window.
+/// `RateWindow` counts the usage within the current window.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct RateWindow {
     started_at: Millis,
@@ -28,8 +28,8 @@
 }
 
 impl RateWindow {
-    /// Takes `amount` if the window still holds it. An amount larger than the whole limit passes in
-    /// a fresh window, because it could pass in none otherwise.
+    /// Takes `amount` and returns true if it fits into the current window. An amount above the
+    /// whole limit is accepted in an unused window, because otherwise it could never be accepted.
     pub(super) fn take(&mut self, now: Millis, amount: u32, limit: u32) -> bool {
         if now - self.started_at >= WINDOW {
             *self = RateWindow { started_at: now, taken: 0 };
--- a/crates/anvilhook-standin/src/platform/servers.rs
+++ b/crates/anvilhook-standin/src/platform/servers.rs
@@ -1,4 +1,4 @@
-//! The platform over HTTP, in the form of `anvilhook_platform::wire`.
+//! The platform's HTTP server, which implements `anvilhook_platform::wire`.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,9 +22,9 @@
 use super::local::{LocalPlatform, Pacing, PlatformOptions};
 use super::rate_limits::RateLimits;
 
-/// `PlatformServer` serves a platform, or one caller's view of it, on an address of its own.
+/// `PlatformServer` serves a platform, or one caller's view of it, at its own address.
 ///
-/// To cut off one instance alone, give each its own server over its own `for_caller` view.
+/// To partition single instances, start one server per instance over its own `for_caller` view.
 #[derive(Debug)]
 pub struct PlatformServer {
     address: SocketAddr,
@@ -33,7 +33,7 @@
 }
 
 impl PlatformServer {
-    /// Starts to serve; with port 0 the kernel chooses the port.
+    /// Starts the server. With port 0 the kernel chooses the port.
     ///
     /// # Errors
     ///
@@ -49,21 +49,21 @@
         Ok(Self { address, shutdown, serving })
     }
 
-    /// Returns the address that it listens on.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Stops to serve and frees the address. Calls in flight are cut.
+    /// Stops the server and frees the address. Calls in flight are aborted.
     pub async fn stop(self) {
         self.shutdown.advance(Phase::Closed);
-        // The server may have ended by itself; there is nothing left to stop then.
+        // An error of the server is ignored: it has then stopped already.
         let _ = self.serving.await;
     }
 }
 
-/// Serves a platform under the machine's clock and the usual rate limits until the process is
-/// interrupted or asked to end.
+/// Serves a platform under the machine's clock and the default rate limits until the process
+/// receives an interrupt or termination signal.
 ///
 /// # Errors
 ///
@@ -73,7 +73,7 @@
     let platform = LocalPlatform::new(SystemClock::new(), options);
     platform.faults().set_rate_limits(Some(RateLimits::default()));
     let server = PlatformServer::start(address, platform).await?;
-    log::info!("the platform's stand-in listens on {}", server.address());
+    log::info!("stand-in platform listening on {}", server.address());
     let mut terminated = signal(SignalKind::terminate())?;
     tokio::select! {
         interrupted = tokio::signal::ctrl_c() => interrupted?,
@@ -170,8 +170,8 @@
         let platform = enterer.clone();
         async move {
             match serde_json::from_slice::<ListedInstance>(&body) {
-                Ok(line) => {
-                    platform.enter_instance(line);
+                Ok(entry) => {
+                    platform.enter_instance(entry);
                     stored(Ok(()))
                 }
                 Err(err) => bad_body(&err),
@@ -218,7 +218,7 @@
             answer.headers_mut().insert(wire::REFUSED_HEADER, HeaderValue::from_static("true"));
             answer
         }
-        // The connection breaks inside the body, so the caller never has a whole answer.
+        // The connection fails inside the body, so the caller never receives a complete answer.
         Error::AnswerLost { message } | Error::BadAnswer { message } => {
             let broken = futures_util::stream::iter([Err(message.into())]);
             with_status(StatusCode::OK, Body::from_stream(broken))
--- a/crates/anvilhook-standin/src/platform/tables.rs
+++ b/crates/anvilhook-standin/src/platform/tables.rs
@@ -5,7 +5,7 @@
 
 use anvilhook_platform::{Commit, Condition, Row, RowKey, Transaction, Write};
 
-/// `TableState` holds the rows and carries out transactions, each whole or not at all.
+/// `TableState` holds the rows and carries out transactions, each completely or not at all.
 ///
 /// ```
 /// use anvilhook_platform::{Commit, RowKey, Transaction, Write};
@@ -44,10 +44,11 @@
             .collect()
     }
 
-    /// Carries out a transaction if all of its conditions hold.
+    /// Carries out a transaction if all of its conditions hold, and otherwise returns the current
+    /// rows of their keys.
     pub fn commit(&mut self, txn: &Transaction) -> Commit {
         if !txn.conditions.iter().all(|condition| self.holds(condition)) {
-            return Commit::Conflict { standing: self.standing(&txn.conditions) };
+            return Commit::Conflict { standing: self.current_rows(&txn.conditions) };
         }
         for write in &txn.writes {
             self.write(write);
@@ -64,7 +65,7 @@
         }
     }
 
-    fn standing(&self, conditions: &[Condition]) -> Vec<Row> {
+    fn current_rows(&self, conditions: &[Condition]) -> Vec<Row> {
         let keys: BTreeSet<&RowKey> = conditions
             .iter()
             .map(|condition| match condition {
