--- a/crates/anvilhook-standin/src/engines/serving/feeds.rs
+++ b/crates/anvilhook-standin/src/engines/serving/feeds.rs
@@ -71,8 +71,8 @@
         if self.progress.produced <= self.last && self.progress.end.is_none() {
             self.progress = self.reader.wait_beyond(self.last).await;
         }
-        self.front.pass().await;
-        self.connection.pass().await;
+        self.front.wait_while_paused().await;
+        self.connection.block_if_silent().await;
         if self.progress.produced > self.last {
             return Some(Ok(self.next_chunk()));
         }
--- a/crates/anvilhook-standin/src/engines/serving/handlers.rs
+++ b/crates/anvilhook-standin/src/engines/serving/handlers.rs
@@ -90,7 +90,7 @@
 
 async fn whole(faulty: FaultyAnswers, mut reader: Reader) -> Response<Body> {
     let ended = reader.end().await;
-    faulty.connection.pass().await;
+    faulty.connection.block_if_silent().await;
     if !matches!(ended, AttemptEnd::Finished | AttemptEnd::Prefilled) {
         // A dropped request has no answer: its caller sees a closed connection.
         faulty.connection.close();
--- a/crates/anvilhook-standin/src/faults/answers.rs
+++ b/crates/anvilhook-standin/src/faults/answers.rs
@@ -1,4 +1,4 @@
-//! Whole answers with the faults that meet them.
+//! Complete (not streamed) answers, with the planned faults applied.
 
 use std::sync::Arc;
 
@@ -17,23 +17,23 @@
 use super::connections::Connection;
 use super::switches::{Fault, FaultPlan, When};
 
-/// How long a part of an answer is given to leave the process before its connection fails. A
-/// reset discards what has not left.
-const PART_LEAVES_WITHIN: Millis = Millis(20);
+/// The time for a partial answer to leave the process before its connection fails. A reset discards
+/// data that has not been sent.
+const PARTIAL_SEND_TIME: Millis = Millis(20);
 
-/// `WholeAnswer` is an answer before any fault.
+/// `WholeAnswer` is a complete answer, before a fault is applied to it.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
     /// The status.
     pub status: StatusCode,
-    /// The content's type.
+    /// The content type.
     pub content_type: &'static str,
-    /// The content.
+    /// The body.
     pub body: Bytes,
 }
 
 impl WholeAnswer {
-    /// Makes an answer of a JSON document.
+    /// Creates an answer with a JSON document.
     pub fn json<T: serde::Serialize>(status: StatusCode, value: &T) -> Self {
         match serde_json::to_vec(value) {
             Ok(buf) => Self { status, content_type: "application/json", body: Bytes::from(buf) },
@@ -41,31 +41,32 @@
         }
     }
 
-    /// Makes an answer of plain text.
+    /// Creates an answer with plain text.
     pub fn text(status: StatusCode, text: impl Into<String>) -> Self {
         let body = Bytes::from(text.into());
         Self { status, content_type: "text/plain; charset=utf-8", body }
     }
 }
 
-/// `FaultyAnswers` answers one request under the fault that meets it, if any does.
+/// `FaultyAnswers` answers one request and applies the fault planned for it, if there is one.
 #[derive(Clone, Debug)]
 pub struct FaultyAnswers {
-    /// The attempt whose id is echoed.
+    /// The attempt id to echo.
     pub attempt: AttemptId,
-    /// The fault.
+    /// The planned fault.
     pub plan: Option<FaultPlan>,
     /// The request's connection.
     pub connection: Arc<Connection>,
 }
 
 impl FaultyAnswers {
-    /// Returns the fault.
+    /// Returns the planned fault.
     pub fn fault(&self) -> Option<Fault> {
         self.plan.map(|plan| plan.fault)
     }
 
-    /// Lets a request pass that is to run, and returns the answer of one that is not.
+    /// Applies a fault that prevents the request from running. Returns `None` if the request is to
+    /// run, and otherwise its answer, if it has one.
     pub async fn before_run(&self) -> Option<Response<Body>> {
         let plan = self.plan.filter(|plan| plan.when == When::BeforeRun)?;
         self.before_first_byte(plan.fault).await
@@ -80,15 +81,16 @@
         match fault {
             Fault::NoEcho | Fault::ForeignEcho => self.echo(plain(&answer)),
             Fault::Duplicate => {
-                let once = self.raw(&answer);
+                let once = self.raw_bytes(&answer);
                 self.connection.send_raw(&[once.as_slice(), once.as_slice()].concat());
                 std::future::pending().await
             }
-            _ => self.echo(self.part(&answer, fault)),
+            _ => self.echo(self.partial(&answer, fault)),
         }
     }
 
-    /// Carries out a fault before the first byte. Returns nothing if the fault is another.
+    /// Applies a fault that occurs before the first byte of the answer. Returns `None` for other
+    /// faults, and never returns if the fault leaves the request without an answer.
     pub async fn before_first_byte(&self, fault: Fault) -> Option<Response<Body>> {
         match fault {
             Fault::ResetBeforeFirstByte => self.connection.reset(),
@@ -104,14 +106,14 @@
         std::future::pending().await
     }
 
-    /// Says that the request was refused before running.
+    /// Returns the answer that the request was refused before running.
     pub fn refusal(&self, reason: &str) -> Response<Body> {
         let mut answer = answers::text(StatusCode::SERVICE_UNAVAILABLE, reason);
         answer.headers_mut().insert(REFUSED_HEADER, HeaderValue::from_static("true"));
         self.echo(answer)
     }
 
-    /// Adds the echo of the attempt's id, or what the fault puts in its place.
+    /// Adds the header that echoes the attempt's id, or what the fault sends instead of it.
     pub fn echo(&self, mut answer: Response<Body>) -> Response<Body> {
         if let Some(id) = self.echoed_id()
             && let Ok(value) = HeaderValue::from_str(&id.to_string())
@@ -129,8 +131,8 @@
         }
     }
 
-    /// Announces the whole answer and sends its first half.
-    fn part(&self, answer: &WholeAnswer, fault: Fault) -> Response<Body> {
+    /// Returns an answer that announces the full length and sends only the first half.
+    fn partial(&self, answer: &WholeAnswer, fault: Fault) -> Response<Body> {
         let half = answer.body.slice(..answer.body.len() / 2);
         let first = Some((half, self.connection.clone()));
         let frames = stream::unfold(first, move |state| async move {
@@ -153,7 +155,7 @@
         part
     }
 
-    fn raw(&self, answer: &WholeAnswer) -> Vec<u8> {
+    fn raw_bytes(&self, answer: &WholeAnswer) -> Vec<u8> {
         let mut buf = format!(
             "HTTP/1.1 {}\r\n{CONTENT_TYPE}: {}\r\n{CONTENT_LENGTH}: {}\r\n{ATTEMPT_HEADER}: {}\r\n\r\n",
             answer.status,
@@ -167,7 +169,7 @@
     }
 }
 
-/// Echoes the id of a call that no fault meets, if it carries one.
+/// Echoes the attempt's id of a call without a planned fault, if the call has one.
 pub(crate) fn echo(headers: &HeaderMap, answer: Response<Body>) -> Response<Body> {
     let Some(attempt) = attempt_in(headers) else { return answer };
     FaultyAnswers { attempt, plan: None, connection: Arc::default() }.echo(answer)
@@ -177,18 +179,19 @@
     headers.get(ATTEMPT_HEADER)?.to_str().ok()?.parse().ok()
 }
 
-/// Has a connection fail amid an answer. Returns the error that ends the answer's body.
+/// Makes a connection fail in the middle of an answer. Returns the error that ends the body, or
+/// never returns if the connection only stops sending.
 pub(crate) async fn break_off(connection: &Connection, fault: Fault) -> BoxError {
     if fault == Fault::SilentMidAnswer {
         return std::future::pending().await;
     }
-    tokio::time::sleep(PART_LEAVES_WITHIN.as_duration()).await;
+    tokio::time::sleep(PARTIAL_SEND_TIME.as_duration()).await;
     if fault == Fault::ResetAfterFirstByte {
         connection.reset();
     } else {
         connection.close();
     }
-    BoxError::from("cut short by a switch")
+    BoxError::from("truncated by a planned fault")
 }
 
 fn plain(answer: &WholeAnswer) -> Response<Body> {
--- a/crates/anvilhook-standin/src/faults/connections.rs
+++ b/crates/anvilhook-standin/src/faults/connections.rs
@@ -1,4 +1,4 @@
-//! The open connections of a stand-in, held so that they can be reset or fall silent.
+//! The open connections of a stand-in, tracked so that they can be reset, closed or silenced.
 
 use std::collections::HashMap;
 use std::io::{ErrorKind, Write};
@@ -9,7 +9,7 @@
 use anvilhook_core::units::Millis;
 use socket2::SockRef;
 
-/// Connections are looked through for closed ones when this many more have been accepted.
+/// The number of further connections after which closed ones are removed.
 const PRUNE_AFTER: usize = 64;
 
 /// `Connection` is one accepted connection.
@@ -21,7 +21,7 @@
 }
 
 impl Connection {
-    /// Holds a connection by a second handle on its socket.
+    /// Creates a connection with a second handle on its socket.
     fn new(stream: &tokio::net::TcpStream) -> Self {
         let socket = SockRef::from(stream).try_clone().ok().map(TcpStream::from);
         Self { socket: Mutex::new(socket), silent: AtomicBool::new(false) }
@@ -29,41 +29,44 @@
 
     /// Resets the connection.
     ///
-    /// The kernel sends a reset when the last handle on a socket that does not linger is dropped.
-    /// The server drops its own as soon as it reads the end of the connection.
+    /// The kernel sends a reset when the last handle on a socket with a linger time of zero is
+    /// dropped. The server drops its handle as soon as it reads the end of the connection.
     pub fn reset(&self) {
         let Some(socket) = self.take() else { return };
-        // A socket that its peer has already closed takes no option, and needs none.
+        // Setting the option fails if the peer has already closed the connection; a reset is not
+        // needed then.
         let _ = SockRef::from(&socket).set_linger(Some(Millis::ZERO.as_duration()));
         let _ = socket.shutdown(Shutdown::Read);
     }
 
-    /// Closes the connection in the ordinary way.
+    /// Closes the connection without a reset.
     pub fn close(&self) {
         let Some(socket) = self.take() else { return };
         let _ = socket.shutdown(Shutdown::Both);
     }
 
-    /// Sends bytes past the server, as an upstream does that answers twice.
+    /// Sends bytes on the socket without the server, to imitate an upstream that answers twice.
     pub fn send_raw(&self, buf: &[u8]) {
         if let Some(socket) = self.socket().as_mut() {
-            // The caller may have gone, and a stand-in's short answer fits the socket's buffer.
+            // An error is ignored because the caller may have closed the connection. The write does
+            // not block because a stand-in's short answer fits into the socket's buffer.
             let _ = socket.write_all(buf);
         }
     }
 
-    /// Has the connection fall silent for good, as when something between its ends forgot it.
+    /// Silences the connection permanently: the server no longer handles its requests or sends on
+    /// it, as when a device between both ends has dropped the connection from its tables.
     pub fn silence(&self) {
         self.silent.store(true, Ordering::Release);
     }
 
-    /// Returns whether the connection is silent.
+    /// Returns whether the connection has been silenced.
     pub fn is_silent(&self) -> bool {
         self.silent.load(Ordering::Acquire)
     }
 
-    /// Waits for good if the connection is silent. The wait ends with the connection.
-    pub async fn pass(&self) {
+    /// Never returns if the connection is silent. Closing the connection cancels the wait.
+    pub async fn block_if_silent(&self) {
         if self.is_silent() {
             std::future::pending::<()>().await;
         }
@@ -88,64 +91,65 @@
 }
 
 #[derive(Debug, Default)]
-struct Held {
+struct Tracked {
     by_peer: HashMap<SocketAddr, Arc<Connection>>,
     prune_at: usize,
 }
 
-/// `Connections` holds the open connections by their peers' addresses.
+/// `Connections` tracks the open connections by peer address.
 #[derive(Debug, Default)]
 pub struct Connections {
-    held: Mutex<Held>,
+    tracked: Mutex<Tracked>,
 }
 
 impl Connections {
-    /// Holds a connection.
+    /// Tracks a connection.
     pub(super) fn insert(&self, peer: SocketAddr, stream: &tokio::net::TcpStream) {
         let connection = Arc::new(Connection::new(stream));
-        let mut held = self.held();
-        if held.by_peer.len() >= held.prune_at {
-            held.by_peer.retain(|_, connection| !connection.is_closed());
-            held.prune_at = held.by_peer.len() + PRUNE_AFTER;
+        let mut tracked = self.tracked();
+        if tracked.by_peer.len() >= tracked.prune_at {
+            tracked.by_peer.retain(|_, connection| !connection.is_closed());
+            tracked.prune_at = tracked.by_peer.len() + PRUNE_AFTER;
         }
-        held.by_peer.insert(peer, connection);
+        tracked.by_peer.insert(peer, connection);
     }
 
-    /// Returns the connection from a peer if it is held.
+    /// Returns the connection from a peer, if it is tracked.
     pub fn find(&self, peer: SocketAddr) -> Option<Arc<Connection>> {
-        self.held().by_peer.get(&peer).cloned()
+        self.tracked().by_peer.get(&peer).cloned()
     }
 
-    /// Returns the connection from a peer, or one that cannot fail if none is held.
+    /// Returns the connection from a peer. If none is tracked, returns a placeholder that cannot be
+    /// made to fail.
     pub fn get(&self, peer: SocketAddr) -> Arc<Connection> {
         self.find(peer).unwrap_or_default()
     }
 
-    /// Has every connection that is open now fall silent; later ones work.
+    /// Silences every connection that is open now. Later connections work.
     pub fn silence_all(&self) {
-        self.each(|connection| connection.silence());
+        self.for_each(|connection| connection.silence());
     }
 
     /// Resets every connection that is open now.
     pub fn reset_all(&self) {
-        self.each(|connection| connection.reset());
+        self.for_each(|connection| connection.reset());
     }
 
-    /// Closes every connection that is open now in the ordinary way.
+    /// Closes every connection that is open now, without a reset.
     pub fn close_all(&self) {
-        self.each(|connection| connection.close());
+        self.for_each(|connection| connection.close());
     }
 
-    fn each(&self, act: impl Fn(&Connection)) {
-        self.held().by_peer.values().for_each(|connection| act(connection));
+    fn for_each(&self, act: impl Fn(&Connection)) {
+        self.tracked().by_peer.values().for_each(|connection| act(connection));
     }
 
-    fn held(&self) -> MutexGuard<'_, Held> {
-        self.held.lock().unwrap_or_else(PoisonError::into_inner)
+    fn tracked(&self) -> MutexGuard<'_, Tracked> {
+        self.tracked.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-/// Returns the address by which a connection is held.
+/// Returns the peer address under which a connection is tracked.
 pub(crate) fn peer_of(address: &volo::net::Address) -> SocketAddr {
     match address {
         volo::net::Address::Ip(peer) => *peer,
--- a/crates/anvilhook-standin/src/faults/mod.rs
+++ b/crates/anvilhook-standin/src/faults/mod.rs
@@ -1,6 +1,6 @@
-//! Faults of an upstream's connections and answers, shared by all stand-ins of upstreams.
+//! Faults of an upstream's connections and answers, used by all stand-in upstreams.
 //!
-//! A fault is set while the stand-in runs, for the next requests or for all of them.
+//! Faults are planned while the stand-in runs, for a number of requests or for all of them.
 
 mod answers;
 mod connections;
--- a/crates/anvilhook-standin/src/faults/servers.rs
+++ b/crates/anvilhook-standin/src/faults/servers.rs
@@ -1,4 +1,4 @@
-//! A server whose listener and connections can be made to fail.
+//! An HTTP server whose listener and connections can be made to fail.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,16 +22,16 @@
 use super::connections::{Connections, peer_of};
 use super::switches::Switches;
 
-/// How many connections may wait to be accepted.
+/// The maximum number of connections that wait to be accepted.
 const BACKLOG: u32 = 1_024;
 
-/// `FrontOptions` describes where and how a stand-in listens.
+/// `FrontOptions` configures the listener of a stand-in.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontOptions {
-    /// The address; port 0 has the kernel choose one.
+    /// The address to listen on. With port 0 the kernel chooses the port.
     pub address: SocketAddr,
-    /// Whether connections are held so that they can be made to fail, at one more file descriptor
-    /// for each. What opens very many connections goes without.
+    /// Whether connections are tracked so that they can be made to fail. This takes one more file
+    /// descriptor per connection, so tests with very many connections turn it off.
     pub holds_connections: bool,
 }
 
@@ -41,18 +41,18 @@
     }
 }
 
-/// `Port` is what a stand-in does with its port.
+/// `Port` is the state of a stand-in's port.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Port {
-    /// It accepts connections.
+    /// The port accepts connections.
     Open,
-    /// It keeps the port and refuses connections.
+    /// The port stays bound, and connections are refused.
     Refusing,
-    /// It has left the port.
-    Left,
+    /// The port is released.
+    Released,
 }
 
-/// `Front` is a running server with its switches.
+/// `Front` is a handle on a running server and its fault switches. Clones control the same server.
 #[derive(Clone, Debug)]
 pub struct Front {
     address: SocketAddr,
@@ -64,7 +64,7 @@
     shutdown: Shutdown,
 }
 
-/// `Binding` is a listener on its way to a server.
+/// `Binding` is a bound listener that is not served yet.
 #[derive(Debug)]
 pub(crate) struct Binding {
     listener: TcpListener,
@@ -88,12 +88,12 @@
         Ok(Binding { listener, front, holds_connections: opts.holds_connections })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns the faults of answers.
+    /// Returns the fault switches of answers.
     pub fn switches(&self) -> &Switches {
         &self.switches
     }
@@ -103,35 +103,35 @@
         &self.connections
     }
 
-    /// Has new connections refused, as when no process listens, or accepted again. When this
-    /// returns, it is so. Open connections go on.
+    /// Refuses new connections, as if no process listened, or accepts them again. Returns when the
+    /// change has taken effect. Open connections are not affected.
     pub async fn refuse_connections(&self, refuse: bool) {
         self.set_port(if refuse { Port::Refusing } else { Port::Open }).await;
     }
 
-    /// Pauses the server, as a stopped process or one behind a network partition, or lets it go on.
-    /// Connections are accepted meanwhile, and nothing is answered.
+    /// Pauses the server, like a stopped process or one behind a network partition, or resumes it.
+    /// A paused server accepts connections and answers nothing.
     pub fn pause(&self, pause: bool) {
         self.paused.send_replace(pause);
     }
 
     /// Waits while the server is paused.
-    pub(crate) async fn pass(&self) {
+    pub(crate) async fn wait_while_paused(&self) {
         if *self.paused.borrow() {
             // The sender lives in `self`, so the channel cannot close during the wait.
             let _ = self.paused.subscribe().wait_for(|paused| !*paused).await;
         }
     }
 
-    /// Ends as a killed process does: connections are reset, and new ones are refused.
+    /// Imitates a killed process: resets the open connections and refuses new ones.
     pub async fn crash(&self) {
         self.refuse_connections(true).await;
         self.connections.reset_all();
     }
 
-    /// Ends the server, closes its connections and frees the port.
+    /// Stops the server, closes its connections and frees the port.
     pub async fn stop(&self) {
-        self.set_port(Port::Left).await;
+        self.set_port(Port::Released).await;
         self.connections.close_all();
         self.shutdown.advance(Phase::Closed);
     }
@@ -144,7 +144,7 @@
     async fn set_port(&self, port: Port) {
         let mut actual = self.actual.subscribe();
         self.wanted.send_if_modified(|wanted| {
-            let changes = *wanted != port && *wanted != Port::Left;
+            let changes = *wanted != port && *wanted != Port::Released;
             if changes {
                 *wanted = port;
             }
@@ -161,7 +161,7 @@
         &self.front
     }
 
-    /// Serves the router on a task of its own until the front is stopped.
+    /// Serves the router on a separate task until the front is stopped.
     pub(crate) fn serve<E>(self, router: Router<Body, E>) -> Front
     where
         E: volo_http::server::IntoResponse + Send + 'static,
@@ -172,7 +172,7 @@
     {
         let front = self.front.clone();
         let stopped = front.shutdown.clone();
-        let passing = front.clone();
+        let pausing = front.clone();
         let incoming = FaultyIncoming {
             socket: Socket::Listening(self.listener),
             wanted: front.wanted.subscribe(),
@@ -181,9 +181,9 @@
         };
         tokio::spawn(async move {
             tokio::select! {
-                ended = Server::new(router).layer(Passing(passing)).run(incoming) => {
+                ended = Server::new(router).layer(PauseLayer(pausing)).run(incoming) => {
                     if let Err(err) = ended {
-                        log::error!("the stand-in's server ended: {err}");
+                        log::error!("the stand-in's server terminated: {err}");
                     }
                 }
                 () = stopped.reached(Phase::Closed) => {}
@@ -193,17 +193,17 @@
     }
 }
 
-/// `Socket` is the socket that stands on the port.
+/// `Socket` is the socket bound to the port.
 #[derive(Debug)]
 enum Socket {
     Listening(TcpListener),
-    /// Bound without listening, so that the kernel refuses connections and gives the port to
-    /// nobody else meanwhile.
+    /// Bound without listening, so that the kernel refuses connections and assigns the port to no
+    /// other process.
     Reserving(TcpSocket),
     None,
 }
 
-/// `FaultyIncoming` accepts connections as long as the port is open.
+/// `FaultyIncoming` accepts connections while the port is open.
 struct FaultyIncoming {
     socket: Socket,
     wanted: watch::Receiver<Port>,
@@ -218,7 +218,7 @@
 }
 
 impl FaultyIncoming {
-    /// Accepts the next connection, or returns `None` when another state of the port is wanted.
+    /// Accepts the next connection, or returns `None` when another state of the port is requested.
     async fn accept_or_change(&mut self) -> Option<io::Result<(TcpStream, SocketAddr)>> {
         match &self.socket {
             Socket::Listening(listener) => tokio::select! {
@@ -233,12 +233,12 @@
         }
     }
 
-    /// Brings the port into the wanted state.
+    /// Changes the port to the requested state.
     fn change(&mut self) -> io::Result<()> {
         let wanted = *self.wanted.borrow_and_update();
         let before = std::mem::replace(&mut self.socket, Socket::None);
         self.socket = match (wanted, before) {
-            (Port::Left, _) => Socket::None,
+            (Port::Released, _) => Socket::None,
             (Port::Open, Socket::Reserving(socket)) => Socket::Listening(socket.listen(BACKLOG)?),
             (Port::Refusing, Socket::Listening(listener)) => {
                 drop(listener);
@@ -273,7 +273,7 @@
                 }
                 None => {
                     if let Err(err) = self.change() {
-                        log::error!("{self:?} cannot change its port: {err}");
+                        log::error!("{self:?}: cannot change the state of the port: {err}");
                         return Err(err);
                     }
                 }
@@ -287,32 +287,32 @@
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
-    // Without this the port's connections that are still open would forbid the binding.
+    // Without this, open connections of the port would make the bind fail.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     Ok(socket)
 }
 
-/// `Passing` lets a request pass when the server is not paused and its connection not silent.
+/// `PauseLayer` delays requests while the server is paused, and blocks those on silent connections.
 #[derive(Clone, Debug)]
-struct Passing<S>(S);
+struct PauseLayer<S>(S);
 
-/// `PassingService` is the service under `Passing`.
+/// `PauseService` is the service created by `PauseLayer`.
 #[derive(Clone, Debug)]
-struct PassingService<S> {
+struct PauseService<S> {
     front: Front,
     inner: S,
 }
 
-impl<S> Layer<S> for Passing<Front> {
-    type Service = PassingService<S>;
+impl<S> Layer<S> for PauseLayer<Front> {
+    type Service = PauseService<S>;
 
-    fn layer(self, inner: S) -> PassingService<S> {
-        PassingService { front: self.0, inner }
+    fn layer(self, inner: S) -> PauseService<S> {
+        PauseService { front: self.0, inner }
     }
 }
 
-impl<S> Service<ServerContext, Request> for PassingService<S>
+impl<S> Service<ServerContext, Request> for PauseService<S>
 where
     S: Service<ServerContext, Request> + Send + Sync,
 {
@@ -320,11 +320,11 @@
     type Error = S::Error;
 
     async fn call(&self, cx: &mut ServerContext, req: Request) -> Result<S::Response, S::Error> {
-        self.front.pass().await;
+        self.front.wait_while_paused().await;
         let peer = cx.rpc_info().caller().address();
         if let Some(connection) = peer.and_then(|peer| self.front.connections.find(peer_of(&peer)))
         {
-            connection.pass().await;
+            connection.block_if_silent().await;
         }
         self.inner.call(cx, req).await
     }
--- a/crates/anvilhook-standin/src/faults/switches.rs
+++ b/crates/anvilhook-standin/src/faults/switches.rs
@@ -1,43 +1,43 @@
-//! Which fault meets which request.
+//! Fault switches: plan which fault is applied to which request.
 
 use std::collections::VecDeque;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// `Fault` is what can go wrong with one answer.
+/// `Fault` is a fault of one answer.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Fault {
     /// The connection is reset before the answer's first byte.
     ResetBeforeFirstByte,
-    /// The connection is closed in the ordinary way before the answer's first byte.
+    /// The connection is closed without a reset before the answer's first byte.
     CloseWithoutAnswer,
-    /// Nothing comes, and the connection stays open.
+    /// Nothing is sent, and the connection stays open.
     HangBeforeFirstByte,
-    /// The connection is reset after a part of the answer.
+    /// The connection is reset after part of the answer.
     ResetAfterFirstByte,
-    /// Nothing more comes after a part of the answer, and the connection stays open.
+    /// Nothing more is sent after part of the answer, and the connection stays open.
     SilentMidAnswer,
-    /// The connection is closed in the ordinary way after a part of the answer.
+    /// The connection is closed without a reset after part of the answer.
     CutShort,
-    /// A stream ends in the ordinary way without its closing event. A whole answer has none, and is
-    /// cut short instead.
+    /// A stream ends without a connection error and without its closing event. A complete answer
+    /// has no closing event and is truncated as by `CutShort` instead.
     NoClosingEvent,
     /// The answer does not echo the attempt's id.
     NoEcho,
     /// The answer echoes the id of another attempt.
     ForeignEcho,
-    /// A whole answer comes twice on its connection; of a stream, each event comes twice.
+    /// A complete answer is sent twice on its connection; of a stream, each event is sent twice.
     Duplicate,
-    /// The upstream says that it refused before running.
+    /// The upstream reports that it refused the request before running it.
     OwnRefusal,
-    /// The status of a refusal comes without the header that makes it one.
+    /// The answer has the status of a refusal, but not the header that marks a refusal.
     BareRefusal,
-    /// The upstream's process ends: every connection is reset and new ones are refused.
+    /// The upstream's process terminates: every connection is reset, and new ones are refused.
     Crash,
 }
 
 impl Fault {
-    /// All faults, for tables of tests.
+    /// All faults, for tests with a table of cases.
     pub const ALL: [Fault; 13] = [
         Fault::ResetBeforeFirstByte,
         Fault::CloseWithoutAnswer,
@@ -55,16 +55,17 @@
     ];
 }
 
-/// `When` says whether a request has run when its fault strikes.
+/// `When` indicates whether a request has run when its fault occurs.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum When {
-    /// The request does not run, though nobody may conclude that from what is seen.
+    /// The request does not run. Except after an own refusal, the caller cannot conclude this from
+    /// the answer.
     BeforeRun,
     /// The request runs.
     AfterRun,
 }
 
-/// `FaultPlan` is a fault with its circumstances.
+/// `FaultPlan` is a fault and the point in the request at which it occurs.
 ///
 /// ```
 /// use anvilhook_standin::faults::{Fault, FaultPlan, When};
@@ -75,28 +76,29 @@
 /// ```
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub struct FaultPlan {
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
-    /// Whether the request has run by then. Faults amid an answer strike after the run always.
+    /// Whether the request has run by then. Faults in the middle of an answer always occur after
+    /// the run.
     pub when: When,
-    /// How many events of a stream come before a fault amid the answer.
+    /// The number of events that a stream sends before a fault in the middle of the answer.
     pub events: u64,
 }
 
 impl FaultPlan {
-    /// Has the request not run.
+    /// Returns the plan with the fault before the run, so that the request does not run.
     pub fn before_run(self) -> Self {
         Self { when: When::BeforeRun, ..self }
     }
 
-    /// Has a fault amid a stream strike after this many events.
+    /// Returns the plan with a fault in the middle of a stream after this many events.
     pub fn after_events(self, events: u64) -> Self {
         Self { events, ..self }
     }
 }
 
 impl From<Fault> for FaultPlan {
-    /// Has the request run, except under a refusal of the upstream's own.
+    /// Creates a plan in which the request runs, except for `OwnRefusal`.
     fn from(fault: Fault) -> Self {
         let when = if fault == Fault::OwnRefusal { When::BeforeRun } else { When::AfterRun };
         Self { fault, when, events: 1 }
@@ -109,7 +111,7 @@
     always: Option<FaultPlan>,
 }
 
-/// `Switches` holds the faults to come.
+/// `Switches` holds the planned faults.
 ///
 /// ```
 /// use anvilhook_standin::faults::{Fault, Switches};
@@ -126,7 +128,7 @@
 }
 
 impl Switches {
-    /// Has the fault meet the next `count` requests, after those already planned.
+    /// Plans the fault for `count` requests, after the faults already planned.
     pub fn next(&self, count: usize, plan: impl Into<FaultPlan>) {
         let plan = plan.into();
         let mut plans = self.plans();
@@ -134,21 +136,21 @@
         self.arm(&plans);
     }
 
-    /// Has the fault meet every request that no other is planned for; `None` ends that.
+    /// Plans the fault for every request without another planned fault; `None` removes it.
     pub fn always(&self, plan: Option<FaultPlan>) {
         let mut plans = self.plans();
         plans.always = plan;
         self.arm(&plans);
     }
 
-    /// Forgets all faults.
+    /// Removes all planned faults.
     pub fn clear(&self) {
         let mut plans = self.plans();
         *plans = Plans::default();
         self.arm(&plans);
     }
 
-    /// Takes the fault that meets the present request.
+    /// Takes the fault planned for the current request, if there is one.
     pub fn take(&self) -> Option<FaultPlan> {
         if !self.armed.load(Ordering::Acquire) {
             return None;
--- a/crates/anvilhook-standin/src/lib.rs
+++ b/crates/anvilhook-standin/src/lib.rs
@@ -1,5 +1,5 @@
-//! Small stand-ins for the platform, model engines and plain services, each with switches for the
-//! faults that the real ones show.
+//! Small stand-ins for the platform, model engines and plain services. Each can be made to show the
+//! faults of the real services.
 #![forbid(unsafe_code)]
 
 pub mod engines;
--- a/crates/anvilhook-standin/src/main.rs
+++ b/crates/anvilhook-standin/src/main.rs
@@ -1,4 +1,4 @@
-//! `anvilhook-standin`: one stand-in as a process of its own.
+//! `anvilhook-standin`: runs one stand-in as a separate process.
 
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 use argh::FromArgs;
 use tokio::signal::unix::{SignalKind, signal};
 
-/// The level of logs if the environment's `RUST_LOG` names none.
+/// The log level if `RUST_LOG` is not set.
 const DEFAULT_LOG_LEVEL: &str = "info";
 
 /// Run a stand-in for one of the services around anvilhook until it is interrupted.
@@ -122,16 +122,16 @@
 }
 
 async fn run_until_interrupted(name: &str, front: &Front) -> eyre::Result<()> {
-    log::info!("the {name}'s stand-in listens on {}", front.address());
+    log::info!("stand-in {name} listening on {}", front.address());
     interrupted().await?;
     front.stop().await;
     Ok(())
 }
 
-/// Waits for a signal to end the process.
+/// Waits for an interrupt or termination signal.
 ///
-/// The HTTP library handles these signals for itself, and with that takes their effect on the
-/// process away: without this the process would outlive a SIGTERM.
+/// The HTTP library installs its own handlers, so these signals no longer terminate the process by
+/// default: without this wait the process would survive a SIGTERM.
 async fn interrupted() -> eyre::Result<()> {
     let mut terminated = signal(SignalKind::terminate())?;
     tokio::select! {
--- a/crates/anvilhook-standin/src/plain/handlers.rs
+++ b/crates/anvilhook-standin/src/plain/handlers.rs
@@ -1,4 +1,4 @@
-//! The plain service's calls.
+//! Handlers of the plain service's calls.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -26,25 +26,25 @@
 /// The header of the caller's idempotency key.
 const KEY_HEADER: &str = "idempotency-key";
 
-/// The largest body of a call.
+/// The maximum size of a call's body, in bytes.
 const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// How long a call's body may take.
+/// The maximum time to receive a call's body.
 const BODY_TIMEOUT: Millis = Millis::from_secs(30);
 
-/// `PlainAnswer` is what a plain service answers to a call that it ran.
+/// `PlainAnswer` is the answer to a call that the plain service ran.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct PlainAnswer {
     /// The method and the path.
     pub call: String,
-    /// A number that stands for the call's body, by which an answer to another call is detected;
-    /// see `body_digest`.
+    /// The digest of the call's body, by which checks detect an answer to another call; see
+    /// `body_digest`.
     pub body: u64,
-    /// The run's place among all of the service's runs, from 1.
+    /// The number of the run among all runs of the service, from 1.
     pub run: usize,
 }
 
-/// Makes the router of a plain service: a load report, and any other call.
+/// Creates the router of a plain service. It serves the load report and runs every other call.
 pub(super) fn router(plain: &Arc<Plain>) -> Router {
     Router::new().route(REPORT_PATH, get(report)).fallback(run).layer(Extension(plain.clone()))
 }
@@ -67,11 +67,11 @@
     if let Some(answer) = faulty.before_run().await {
         return answer;
     }
-    let Some(_open) = Open::try_new(&plain.open, plain.max_open) else {
+    let Some(_open) = OpenCall::try_new(&plain.open, plain.max_open) else {
         return faulty.refusal("too many calls are open");
     };
 
-    // From here on the call has run, whatever becomes of its answer.
+    // From here on the call counts as run, even if its answer is lost.
     let call = call_of(&parts);
     let body = body_digest(&body);
     let key = parts.headers.get(KEY_HEADER).and_then(|key| key.to_str().ok()).map(str::to_owned);
@@ -84,12 +84,13 @@
     if plain.run_time > Millis::ZERO {
         tokio::time::sleep(plain.run_time.as_duration()).await;
     }
-    plain.front.pass().await;
-    faulty.connection.pass().await;
+    plain.front.wait_while_paused().await;
+    faulty.connection.block_if_silent().await;
     faulty.whole(WholeAnswer::json(StatusCode::OK, &PlainAnswer { call, body, run })).await
 }
 
-/// Reports the load in the form that engines use; what only engines have is empty.
+/// Returns the load in the engines' report format, with zero or none in the fields that apply only
+/// to engines.
 async fn report(Extension(plain): Extension<Arc<Plain>>, req: Request) -> Response<Body> {
     let report = LoadReport {
         boot: 1,
@@ -110,10 +111,10 @@
     echo(req.headers(), answers::json(StatusCode::OK, &report))
 }
 
-/// `Open` counts a call as open until it is dropped.
-struct Open<'a>(&'a AtomicU32);
+/// `OpenCall` counts a call as open until it is dropped.
+struct OpenCall<'a>(&'a AtomicU32);
 
-impl<'a> Open<'a> {
+impl<'a> OpenCall<'a> {
     fn try_new(open: &'a AtomicU32, max_open: u32) -> Option<Self> {
         let counted = open.fetch_update(Ordering::AcqRel, Ordering::Acquire, |open| {
             (open < max_open).then(|| open + 1)
@@ -122,7 +123,7 @@
     }
 }
 
-impl Drop for Open<'_> {
+impl Drop for OpenCall<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::AcqRel);
     }
--- a/crates/anvilhook-standin/src/plain/ledgers.rs
+++ b/crates/anvilhook-standin/src/plain/ledgers.rs
@@ -1,4 +1,4 @@
-//! The count of what a plain service ran.
+//! The ledger of the calls that a plain service ran.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use anvilhook_core::units::Millis;
 use sha2::{Digest, Sha256};
 
-/// Returns a number that stands for a call's body.
+/// Returns a digest of a call's body.
 pub fn body_digest(body: &[u8]) -> u64 {
     let digest = Sha256::digest(body);
     let mut first = [0; size_of::<u64>()];
@@ -15,23 +15,23 @@
     u64::from_be_bytes(first)
 }
 
-/// `Run` is one call that was run.
+/// `Run` records one call that the service ran.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Run {
-    /// The attempt that brought it.
+    /// The attempt that sent the call.
     pub attempt: AttemptId,
-    /// The caller's idempotency key, if it came along.
+    /// The caller's idempotency key, if the call had one.
     pub key: Option<String>,
     /// The method and the path.
     pub call: String,
-    /// A number that stands for the body; see `body_digest`.
+    /// The digest of the body; see `body_digest`.
     pub body: u64,
-    /// When it ran.
+    /// When the call ran.
     pub at: Millis,
 }
 
-/// `RunLedger` counts runs. Clones share the counts, so that all upstreams of one service can
-/// count together.
+/// `RunLedger` records and counts runs. Clones share the records, so that all upstreams of one
+/// service can use the same ledger.
 ///
 /// ```
 /// use anvilhook_core::attempts::AttemptId;
@@ -64,7 +64,7 @@
 }
 
 impl RunLedger {
-    /// Counts a run and returns how many there have been.
+    /// Records a run and returns the number of runs so far.
     pub fn push(&self, run: Run) -> usize {
         let mut runs = self.runs();
         if let Some(key) = &run.key {
--- a/crates/anvilhook-standin/src/plain/mod.rs
+++ b/crates/anvilhook-standin/src/plain/mod.rs
@@ -1,5 +1,5 @@
-//! A plain service, such as one that sends alerts or keeps a ledger of sales: it runs every call
-//! that reaches it, and counts each run, so that doubled and lost calls are seen on its side.
+//! A stand-in plain service, such as one that sends alerts or records sales. It runs every call
+//! that reaches it and records each run, so that checks detect duplicated and lost calls.
 
 mod handlers;
 mod ledgers;
--- a/crates/anvilhook-standin/src/plain/servers.rs
+++ b/crates/anvilhook-standin/src/plain/servers.rs
@@ -1,4 +1,4 @@
-//! Starting and steering a plain service.
+//! `PlainServer`: starts an upstream of a plain service and controls it.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,18 +11,18 @@
 use super::ledgers::RunLedger;
 use crate::faults::{Front, FrontOptions};
 
-/// `PlainServerOptions` describes one upstream of a plain service.
+/// `PlainServerOptions` configures one upstream of a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainServerOptions {
-    /// Where and how it listens.
+    /// The options of the listener.
     pub front: FrontOptions,
-    /// The count of runs, perhaps shared with the service's other upstreams.
+    /// The ledger of runs, which the service's upstreams can share.
     pub ledger: RunLedger,
     /// The clock of the ledger.
     pub clock: SystemClock,
-    /// How long a call takes.
+    /// The duration of a call.
     pub run_time: Millis,
-    /// The most calls at once; one more is refused.
+    /// The maximum number of calls that run at the same time; further calls are refused.
     pub max_open: u32,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// `Plain` is what the server's calls share.
+/// `Plain` is the state shared by the handlers of the server's calls.
 #[derive(Debug)]
 pub(super) struct Plain {
     pub(super) front: Front,
@@ -51,14 +51,15 @@
     pub(super) leaving: AtomicBool,
 }
 
-/// `PlainServer` is a handle on a running upstream of a plain service. Clones steer the same one.
+/// `PlainServer` is a handle on a running upstream of a plain service. Clones control the same
+/// upstream.
 #[derive(Clone, Debug)]
 pub struct PlainServer {
     plain: Arc<Plain>,
 }
 
 impl PlainServer {
-    /// Starts an upstream on tasks of the present runtime.
+    /// Starts an upstream on tasks of the current runtime.
     ///
     /// # Errors
     ///
@@ -79,27 +80,27 @@
         Ok(Self { plain })
     }
 
-    /// Returns the address listened on.
+    /// Returns the address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.plain.front.address()
     }
 
-    /// Returns the server's port, its connections and the faults of calls.
+    /// Returns the handle on the server's port, its connections and the faults of calls.
     pub fn front(&self) -> &Front {
         &self.plain.front
     }
 
-    /// Returns the count of runs.
+    /// Returns the ledger of runs.
     pub fn ledger(&self) -> &RunLedger {
         &self.plain.ledger
     }
 
-    /// Sets whether the upstream says that it is leaving.
+    /// Sets whether the upstream reports that it is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.plain.leaving.store(leaving, Ordering::Release);
     }
 
-    /// Ends the process: connections are reset and new ones refused.
+    /// Imitates a crash of the process: resets the open connections and refuses new ones.
     pub async fn crash(&self) {
         self.plain.front.crash().await;
     }
