--- a/crates/anvilhook-standin/tests/engine_models.rs
+++ b/crates/anvilhook-standin/tests/engine_models.rs
@@ -1,4 +1,4 @@
-//! Contract of the engine's state machine, under a time that the tests set.
+//! Contract tests of the engine's state machine, under a time that the tests set.
 
 use std::sync::Arc;
 
@@ -12,10 +12,10 @@
     Refused, WorkKind,
 };
 
-/// A prompt of one block.
+/// The number of tokens in one block of a prompt.
 const BLOCK: u64 = 256;
 
-/// An engine whose times are easy to add up: 1 ms a prompt token, 10 ms a step of the batch.
+/// Returns options with times that are easy to add up: 1 ms per prompt token, 10 ms per batch step.
 fn slow() -> EngineOptions {
     EngineOptions {
         prefill_tokens_per_s: 1_000,
@@ -50,7 +50,7 @@
     StampedOrder { stamp: Stamp { term: Term(term), seq }, order: Order::SetRole { role } }
 }
 
-/// Returns each first token, as its attempt and time.
+/// Returns the attempt and time of each first token.
 fn first_tokens(events: &[EngineEvent]) -> Vec<(u128, u64)> {
     let first = |event: &EngineEvent| match event {
         EngineEvent::FirstToken { attempt, at, .. } => Some((attempt.0, at.0)),
@@ -59,7 +59,7 @@
     events.iter().filter_map(first).collect()
 }
 
-/// Returns each end, as its attempt, time and longest gap.
+/// Returns the attempt, time and longest gap of each finished request.
 fn ends(events: &[EngineEvent]) -> Vec<(u128, u64, u64)> {
     let end = |event: &EngineEvent| match event {
         EngineEvent::Finished { attempt, at, longest_gap, .. } => {
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn verify_reading_a_prompt_holds_up_those_that_generate() {
+fn verify_prefill_delays_generating_requests() {
     let mut engine = engine(slow());
     engine.submit(Millis(0), req(1, 1, 100)).unwrap();
     engine.advance(Millis(51));
@@ -118,8 +118,8 @@
 
     let events = engine.advance(Millis(1_000));
 
-    // The second request joins after one step of 10 ms and 1 ms of its prompt; the third waits for
-    // a place.
+    // The second request starts to generate after a step of 10 ms and 1 ms for its prompt. The
+    // third waits for a slot.
     assert_eq!(ends(&events).iter().map(|end| end.0).collect::<Vec<_>>(), [1, 2, 3]);
     let third = first_tokens(&events)[2];
     assert!(third.1 > ends(&events)[0].1, "{events:?}");
@@ -143,12 +143,12 @@
 fn verify_cached_prefix_is_not_read_again_until_it_is_evicted() {
     let mut engine = engine(EngineOptions { cache_blocks: 3, ..slow() });
     let cases = [
-        // Each case: the blocks of a prompt, and the tokens that the cache spares.
+        // Each case: the blocks of a prompt, and the expected number of cached tokens.
         (vec![1, 2], 0),
         (vec![1, 2, 3], 2 * BLOCK),
-        // The whole prompt is held; its last token is read all the same.
+        // The whole prompt is cached, but its last token is always read.
         (vec![1, 2], 2 * BLOCK - 1),
-        // Two new blocks evict what was used least recently, the tail of a prompt first.
+        // A new block evicts the least recently used one; within a prompt, the tail goes first.
         (vec![8], 0),
         (vec![1, 2, 3], 2 * BLOCK),
         (vec![7, 6, 5], 0),
@@ -200,17 +200,18 @@
 }
 
 #[test]
-fn verify_reports_lag_and_say_how_old_they_are() {
+fn verify_reports_lag_and_state_their_age() {
     let opts = EngineOptions { report_lag: Millis(500), report_interval: Millis(250), ..slow() };
     let mut engine = engine(opts);
     engine.submit(Millis(100), req(1, 5_000, 1)).unwrap();
-    // Each case: the time, and the age, number and waiting prompt of the report answered then.
+    // Each case: the time, and the age, number and queued prompt tokens of the report returned
+    // then.
     let cases = [
         (100, 100, 1, 0),
         (600, 600, 1, 0),
         (750, 500, 2, 4_900),
         (800, 550, 2, 4_900),
-        // A report shows the engine before what happens at its very moment.
+        // A report shows the state before the events of the same instant.
         (1_000, 500, 3, 4_700),
         (60_000, 500, 239, 0),
     ];
@@ -248,25 +249,25 @@
 
 #[test]
 fn verify_prefill_exports_and_decode_imports() {
-    let mut reader = engine(EngineOptions { role: Role::Prefill, ..slow() });
-    let mut writer = engine(EngineOptions { role: Role::Decode, ..slow() });
+    let mut prefill = engine(EngineOptions { role: Role::Prefill, ..slow() });
+    let mut decode = engine(EngineOptions { role: Role::Decode, ..slow() });
     let kind = WorkKind::Prefill;
-    reader.submit(Millis(0), ModelRequest { kind, ..req(1, 500, 0) }).unwrap();
+    prefill.submit(Millis(0), ModelRequest { kind, ..req(1, 500, 0) }).unwrap();
     let kind = WorkKind::Decode;
-    writer.submit(Millis(0), ModelRequest { kind, ..req(1, 500, 2) }).unwrap();
+    decode.submit(Millis(0), ModelRequest { kind, ..req(1, 500, 2) }).unwrap();
 
-    let read = reader.advance(Millis(9_999));
-    let written = writer.advance(Millis(9_999));
+    let prefilled = prefill.advance(Millis(9_999));
+    let decoded = decode.advance(Millis(9_999));
 
     let attempt = AttemptId(1);
-    assert_eq!(read, [EngineEvent::Prefilled { attempt, at: Millis(500), cached: Tokens(0) }]);
-    // The import takes 5 ms, and each token 10 ms.
-    assert_eq!(first_tokens(&written), [(1, 15)]);
-    assert_eq!(ends(&written), [(1, 25, 10)]);
+    assert_eq!(prefilled, [EngineEvent::Prefilled { attempt, at: Millis(500), cached: Tokens(0) }]);
+    // The import takes 5 ms and each token 10 ms.
+    assert_eq!(first_tokens(&decoded), [(1, 15)]);
+    assert_eq!(ends(&decoded), [(1, 25, 10)]);
 }
 
 #[test]
-fn verify_cancelled_request_leaves_its_place() {
+fn verify_cancelled_request_frees_its_slot() {
     let mut engine = engine(EngineOptions { max_batch: 1, ..slow() });
     engine.submit(Millis(0), req(1, 1, 1_000)).unwrap();
     engine.submit(Millis(0), req(2, 1, 1)).unwrap();
@@ -281,21 +282,21 @@
 }
 
 #[test]
-fn verify_order_with_open_requests_cuts_them_and_the_log_shows_it() {
-    // Symptom: callers' answers break off at a role change. Sequence: a request is open, the engine
-    // is ordered to change its role. Cause: an order given before the drain was complete.
+fn verify_order_drops_open_requests_and_records_them() {
+    // An order given before the drain is complete truncates callers' answers at a role change: here
+    // a request is open when the engine is ordered to change its role.
     let mut engine = engine(EngineOptions { role_change: Millis(4_000), ..slow() });
     engine.submit(Millis(0), req(1, 1, 1_000)).unwrap();
     let order = role_order(1, 1, Role::Decode);
 
     let reply = engine.order(Millis(100), &order);
-    let amid = engine.submit(Millis(2_000), req(2, 1, 1));
-    let state_amid = engine.state(Millis(2_000)).unwrap();
+    let submitted = engine.submit(Millis(2_000), req(2, 1, 1));
+    let state_during = engine.state(Millis(2_000)).unwrap();
     let events = engine.advance(Millis(5_000));
     let state_after = engine.state(Millis(5_000)).unwrap();
 
-    assert_eq!((reply, amid), (OrderReply::Accepted, Err(Refused::Changing)));
-    assert_eq!((state_amid.role, state_amid.running_order), (Role::Mixed, Some(order.clone())));
+    assert_eq!((reply, submitted), (OrderReply::Accepted, Err(Refused::Changing)));
+    assert_eq!((state_during.role, state_during.running_order), (Role::Mixed, Some(order.clone())));
     assert_eq!((state_after.role, state_after.running_order), (Role::Decode, None));
     let (at, cause) = (Millis(100), CutCause::Order);
     assert!(events.contains(&EngineEvent::Cut { attempt: AttemptId(1), at, cause }));
@@ -306,10 +307,11 @@
 }
 
 #[test]
-fn verify_which_orders_an_engine_takes() {
+fn verify_which_orders_an_engine_accepts() {
     let accepted = || OrderReply::Accepted;
     let fenced = |term, seq| OrderReply::Fenced { last: Stamp { term: Term(term), seq } };
-    // Each case: whether the engine checks, and orders with their replies, 10 s apart.
+    // Each case: whether the engine checks fencing, and orders 10 s apart with the expected
+    // replies.
     let cases = [
         (true, vec![((2, 1), accepted()), ((1, 9), fenced(2, 1)), ((2, 1), fenced(2, 1))]),
         (true, vec![((2, 1), accepted()), ((2, 2), accepted()), ((3, 1), accepted())]),
@@ -332,7 +334,7 @@
 }
 
 #[test]
-fn verify_order_amid_another_is_refused_and_changes_nothing() {
+fn verify_order_during_another_is_refused_and_changes_nothing() {
     let mut engine = engine(slow());
     engine.order(Millis(0), &role_order(1, 1, Role::Decode));
 
@@ -353,19 +355,19 @@
     let adapter = Order::LoadAdapter { adapter: name("lots") };
 
     engine.order(Millis(0), &StampedOrder { stamp: stamp(1), order: load });
-    let amid = engine.state(Millis(7_999)).unwrap().model;
+    let loading = engine.state(Millis(7_999)).unwrap().model;
     let after = engine.state(Millis(8_000)).unwrap().model;
     engine.order(Millis(8_000), &StampedOrder { stamp: stamp(2), order: adapter });
     let served = engine.submit(Millis(8_001), req(1, 1, 1));
     let adapters = engine.state(Millis(9_000)).unwrap().adapters;
 
-    assert_eq!((amid, after), (None, Some(model)));
+    assert_eq!((loading, after), (None, Some(model)));
     assert_eq!(served, Ok(()));
     assert_eq!(adapters, [name("lots")]);
 }
 
 #[test]
-fn verify_crash_amid_an_order_comes_back_in_a_known_state() {
+fn verify_crash_during_an_order_restarts_in_a_known_state() {
     let cases = [(OrderOutcome::Before, Role::Mixed), (OrderOutcome::After, Role::Decode)];
     for (interrupted_order, role) in cases {
         let mut engine = engine(EngineOptions { interrupted_order, ..slow() });
@@ -386,7 +388,7 @@
 }
 
 #[test]
-fn verify_same_input_gives_same_events_however_time_is_cut() {
+fn verify_same_input_gives_same_events_at_any_step_size() {
     let run = |step: u64| {
         let mut engine = engine(EngineOptions { cache_event_loss: 0.3, ..slow() });
         let mut events = Vec::new();
--- a/crates/anvilhook-standin/tests/engine_servers.rs
+++ b/crates/anvilhook-standin/tests/engine_servers.rs
@@ -1,4 +1,4 @@
-//! Contract of the engine's server: what `anvilhook_engine::wire` promises.
+//! Contract tests of the engine's server against `anvilhook_engine::wire`.
 
 mod fixtures;
 
@@ -13,17 +13,19 @@
     AttemptEnd, EngineOptions, EngineServer, EngineServerOptions, expected_output,
 };
 use anvilhook_standin::faults::{Fault, FaultPlan};
-use fixtures::{PATIENCE, call, chat, completion, fast_engine, fetch, open, read_events, start};
+use fixtures::{
+    ANSWER_TIMEOUT, call, chat, completion, fast_engine, fetch, open, read_events, start,
+};
 use http::{Method, StatusCode};
 
 const A: AttemptId = AttemptId(0xa);
 
 #[tokio::test]
-async fn verify_whole_answer_follows_from_the_prompt_and_echoes_its_attempt() {
+async fn verify_whole_answer_is_derived_from_the_prompt_and_echoes_its_attempt() {
     let engine = start(fast_engine()).await;
     let req = chat("Is the fridge cold enough?", false, 5);
 
-    let seen = fetch(engine.address(), completion(A, &req), PATIENCE).await.unwrap();
+    let seen = fetch(engine.address(), completion(A, &req), ANSWER_TIMEOUT).await.unwrap();
 
     let answer: ChatAnswer = serde_json::from_slice(&seen.body).unwrap();
     assert_eq!(seen.status, StatusCode::OK);
@@ -39,7 +41,7 @@
     let req = chat("Which sink is for fish?", true, 6);
 
     let answer = open(engine.address(), completion(A, &req)).await;
-    let events = read_events(answer, PATIENCE).await;
+    let events = read_events(answer, ANSWER_TIMEOUT).await;
 
     let text: String = events
         .data
@@ -58,11 +60,12 @@
     let req = chat("Which sink is for fish?", true, 6);
     engine.front().switches().next(1, FaultPlan::from(Fault::ResetAfterFirstByte).after_events(3));
 
-    let broken = read_events(open(engine.address(), completion(A, &req)).await, PATIENCE).await;
+    let broken =
+        read_events(open(engine.address(), completion(A, &req)).await, ANSWER_TIMEOUT).await;
     let path = format!("{STREAMS_PATH}/{A}?after=2");
     let resumed = open(engine.address(), call(Method::GET, &path, A, Vec::new())).await;
     let echo = resumed.headers()[ATTEMPT_HEADER].clone();
-    let resumed = read_events(resumed, PATIENCE).await;
+    let resumed = read_events(resumed, ANSWER_TIMEOUT).await;
 
     assert_eq!(broken.numbers, [1, 2, 3]);
     assert!(broken.failed && !broken.closed);
@@ -77,9 +80,10 @@
     let engine = start(fast_engine()).await;
     let path = format!("{STREAMS_PATH}/{A}");
 
-    let get = fetch(engine.address(), call(Method::GET, &path, A, Vec::new()), PATIENCE).await;
+    let get =
+        fetch(engine.address(), call(Method::GET, &path, A, Vec::new()), ANSWER_TIMEOUT).await;
     let delete =
-        fetch(engine.address(), call(Method::DELETE, &path, A, Vec::new()), PATIENCE).await;
+        fetch(engine.address(), call(Method::DELETE, &path, A, Vec::new()), ANSWER_TIMEOUT).await;
 
     assert_eq!(get.unwrap().status, StatusCode::NOT_FOUND);
     assert_eq!(delete.unwrap().status, StatusCode::NO_CONTENT);
@@ -92,8 +96,10 @@
     let open_before = engine.open_attempts();
 
     let path = format!("{STREAMS_PATH}/{A}");
-    fetch(engine.address(), call(Method::DELETE, &path, A, Vec::new()), PATIENCE).await.unwrap();
-    let events = read_events(answer, PATIENCE).await;
+    fetch(engine.address(), call(Method::DELETE, &path, A, Vec::new()), ANSWER_TIMEOUT)
+        .await
+        .unwrap();
+    let events = read_events(answer, ANSWER_TIMEOUT).await;
 
     assert_eq!(open_before, [A]);
     assert_eq!(engine.open_attempts(), []);
@@ -103,40 +109,45 @@
 
 #[tokio::test]
 async fn verify_kv_cache_moves_from_prefill_to_decode() {
-    let reader = start(EngineOptions { role: Role::Prefill, ..fast_engine() }).await;
-    let writer = start(EngineOptions { role: Role::Decode, ..fast_engine() }).await;
+    let prefill = start(EngineOptions { role: Role::Prefill, ..fast_engine() }).await;
+    let decode = start(EngineOptions { role: Role::Decode, ..fast_engine() }).await;
     let other = start(EngineOptions { role: Role::Decode, ..fast_engine() }).await;
     let kv_path = format!("{KV_PATH}/{A}");
     let dossier = "Lot 7, a walnut bureau. ".repeat(200);
 
-    let early = fetch(writer.address(), completion(A, &chat(&dossier, false, 4)), PATIENCE).await;
-    let read = fetch(reader.address(), completion(A, &chat(&dossier, false, 0)), PATIENCE).await;
-    let kv = fetch(reader.address(), call(Method::GET, &kv_path, A, Vec::new()), PATIENCE).await;
+    let without_kv =
+        fetch(decode.address(), completion(A, &chat(&dossier, false, 4)), ANSWER_TIMEOUT).await;
+    let prefilled =
+        fetch(prefill.address(), completion(A, &chat(&dossier, false, 0)), ANSWER_TIMEOUT).await;
+    let kv =
+        fetch(prefill.address(), call(Method::GET, &kv_path, A, Vec::new()), ANSWER_TIMEOUT).await;
     let kv = kv.unwrap().body.to_vec();
-    let put = fetch(writer.address(), call(Method::POST, &kv_path, A, kv), PATIENCE).await;
-    let pull_path = format!("{kv_path}?from={}", reader.address());
+    let put = fetch(decode.address(), call(Method::POST, &kv_path, A, kv), ANSWER_TIMEOUT).await;
+    let pull_path = format!("{kv_path}?from={}", prefill.address());
     let pull = || call(Method::POST, &pull_path, A, Vec::new());
-    let pulled = fetch(other.address(), pull(), PATIENCE).await;
-    let taken = fetch(other.address(), completion(A, &chat(&dossier, false, 4)), PATIENCE).await;
-    reader.set_loses_kv(true);
-    let gone = fetch(other.address(), pull(), PATIENCE).await;
-    let written = fetch(writer.address(), completion(A, &chat(&dossier, false, 4)), PATIENCE).await;
-
-    let early = early.unwrap();
-    assert_eq!(early.status, StatusCode::SERVICE_UNAVAILABLE);
-    assert_eq!(early.headers[REFUSED_HEADER], "true");
-    assert_eq!(read.unwrap().status, StatusCode::OK);
+    let pulled = fetch(other.address(), pull(), ANSWER_TIMEOUT).await;
+    let after_pull =
+        fetch(other.address(), completion(A, &chat(&dossier, false, 4)), ANSWER_TIMEOUT).await;
+    prefill.set_loses_kv(true);
+    let lost = fetch(other.address(), pull(), ANSWER_TIMEOUT).await;
+    let decoded =
+        fetch(decode.address(), completion(A, &chat(&dossier, false, 4)), ANSWER_TIMEOUT).await;
+
+    let without_kv = without_kv.unwrap();
+    assert_eq!(without_kv.status, StatusCode::SERVICE_UNAVAILABLE);
+    assert_eq!(without_kv.headers[REFUSED_HEADER], "true");
+    assert_eq!(prefilled.unwrap().status, StatusCode::OK);
     assert_eq!(put.unwrap().status, StatusCode::NO_CONTENT);
     assert_eq!(pulled.unwrap().status, StatusCode::NO_CONTENT);
-    assert_eq!(taken.unwrap().status, StatusCode::OK);
-    assert_eq!(gone.unwrap().status, StatusCode::NOT_FOUND);
-    let answer: ChatAnswer = serde_json::from_slice(&written.unwrap().body).unwrap();
+    assert_eq!(after_pull.unwrap().status, StatusCode::OK);
+    assert_eq!(lost.unwrap().status, StatusCode::NOT_FOUND);
+    let answer: ChatAnswer = serde_json::from_slice(&decoded.unwrap().body).unwrap();
     let expected = expected_output(&chat(&dossier, false, 4).messages, Tokens(4));
     assert_eq!(answer.choices[0].message.content, expected);
 }
 
 #[tokio::test]
-async fn verify_caller_that_goes_away_from_a_whole_answer_frees_the_engine() {
+async fn verify_disconnect_during_a_whole_answer_frees_the_engine() {
     let engine = start(EngineOptions::default()).await;
 
     let left =
@@ -148,7 +159,7 @@
 }
 
 #[tokio::test]
-async fn verify_stream_that_nobody_reads_is_abandoned_after_its_window() {
+async fn verify_unread_stream_is_abandoned_after_its_resume_window() {
     let resume_window = Millis(20);
     let opts = EngineServerOptions { resume_window, ..EngineServerOptions::default() };
     let engine = EngineServer::start(opts).await.unwrap();
@@ -156,21 +167,21 @@
     drop(open(engine.address(), completion(A, &chat("Go on.", true, 100_000))).await);
     let end = engine.ended(A).await;
     let path = format!("{STREAMS_PATH}/{A}");
-    let late = fetch(engine.address(), call(Method::GET, &path, A, Vec::new()), PATIENCE).await;
+    let late =
+        fetch(engine.address(), call(Method::GET, &path, A, Vec::new()), ANSWER_TIMEOUT).await;
 
     assert_eq!(end, AttemptEnd::Abandoned);
     assert_eq!(late.unwrap().status, StatusCode::NOT_FOUND);
 }
 
 #[tokio::test]
-async fn verify_role_order_cuts_open_answers() {
-    // Symptom: callers' answers break off at a planned change. Sequence: a stream and a whole
-    // answer are open, the engine is ordered to change its role. Cause: an order given before the
-    // drain was complete.
+async fn verify_role_order_drops_open_requests() {
+    // An order given before the drain is complete truncates callers' answers at a planned change:
+    // here a stream and a whole answer are open when the engine is ordered to change its role.
     let engine = start(EngineOptions::default()).await;
     let stream = open(engine.address(), completion(A, &chat("Go on.", true, 100_000))).await;
     let whole = completion(AttemptId(0xb), &chat("Go on.", false, 100_000));
-    let whole = tokio::spawn(fetch(engine.address(), whole, PATIENCE));
+    let whole = tokio::spawn(fetch(engine.address(), whole, ANSWER_TIMEOUT));
     while engine.open_attempts().len() < 2 {
         tokio::task::yield_now().await;
     }
@@ -178,8 +189,8 @@
     let stamp = Stamp { term: Term(1), seq: 1 };
     let order = StampedOrder { stamp, order: Order::SetRole { role: Role::Decode } };
     let order = call(Method::POST, ORDERS_PATH, A, serde_json::to_vec(&order).unwrap());
-    fetch(engine.address(), order, PATIENCE).await.unwrap();
-    let events = read_events(stream, PATIENCE).await;
+    fetch(engine.address(), order, ANSWER_TIMEOUT).await.unwrap();
+    let events = read_events(stream, ANSWER_TIMEOUT).await;
     let whole = whole.await.unwrap();
 
     assert!(events.failed && !events.closed);
--- a/crates/anvilhook-standin/tests/faults.rs
+++ b/crates/anvilhook-standin/tests/faults.rs
@@ -1,4 +1,4 @@
-//! What a client sees of each fault, and whether the request ran.
+//! Tests how each fault appears to the client, and whether the request ran.
 
 mod fixtures;
 
@@ -12,8 +12,8 @@
 use anvilhook_standin::faults::{Fault, FaultPlan};
 use anvilhook_standin::plain::{PlainAnswer, PlainServer, PlainServerOptions, body_digest};
 use fixtures::{
-    Events, PATIENCE, SHORT, Seen, call, chat, client, completion, fast_engine, fetch, fetch_by,
-    open, read_events, start,
+    ANSWER_TIMEOUT, Events, SHORT_TIMEOUT, Seen, call, chat, client, completion, fast_engine,
+    fetch, fetch_by, open, read_events, start,
 };
 use http::{Method, Request, StatusCode};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -32,12 +32,12 @@
     call(Method::POST, "/alerts", attempt, BODY.to_vec())
 }
 
-/// A fault as its client sees it.
+/// The way in which a fault appears to the client.
 #[derive(Debug, Eq, PartialEq)]
 enum View {
-    /// The call failed at a stage, by a timeout or not.
+    /// The call failed at a stage; the flag indicates a timeout.
     Failed(Stage, bool),
-    /// An answer came with a status, an echo and a refusal's header.
+    /// An answer with this status and echo arrived; `refused` indicates the refusal header.
     Answered { status: u16, echo: Option<AttemptId>, refused: bool },
 }
 
@@ -79,7 +79,8 @@
     for (fault, expected, runs) in cases {
         let plain = start_plain().await;
         plain.front().switches().next(1, fault);
-        let timeout = if matches!(expected, View::Failed(_, true)) { SHORT } else { PATIENCE };
+        let timeout =
+            if matches!(expected, View::Failed(_, true)) { SHORT_TIMEOUT } else { ANSWER_TIMEOUT };
 
         let seen = fetch(plain.address(), alert(A), timeout).await;
 
@@ -91,10 +92,10 @@
 #[tokio::test]
 async fn verify_faults_before_the_run_look_the_same_and_leave_the_request_unrun() {
     let cases = [
-        (Fault::ResetBeforeFirstByte, PATIENCE),
-        (Fault::CloseWithoutAnswer, PATIENCE),
-        (Fault::HangBeforeFirstByte, SHORT),
-        (Fault::BareRefusal, PATIENCE),
+        (Fault::ResetBeforeFirstByte, ANSWER_TIMEOUT),
+        (Fault::CloseWithoutAnswer, ANSWER_TIMEOUT),
+        (Fault::HangBeforeFirstByte, SHORT_TIMEOUT),
+        (Fault::BareRefusal, ANSWER_TIMEOUT),
     ];
     for (fault, timeout) in cases {
         let plain = start_plain().await;
@@ -126,7 +127,7 @@
     for (fault, numbers, closed, failed) in cases {
         let engine = start(fast_engine()).await;
         engine.front().switches().next(1, FaultPlan::from(fault).after_events(2));
-        let timeout = if fault == Fault::SilentMidAnswer { SHORT } else { PATIENCE };
+        let timeout = if fault == Fault::SilentMidAnswer { SHORT_TIMEOUT } else { ANSWER_TIMEOUT };
 
         let events = stream_of(&engine, timeout).await;
 
@@ -136,7 +137,7 @@
 }
 
 #[tokio::test]
-async fn verify_faults_meet_as_many_requests_as_they_are_planned_for() {
+async fn verify_faults_apply_to_the_planned_number_of_requests() {
     let plain = start_plain().await;
     let switches = plain.front().switches();
     switches.always(Some(Fault::BareRefusal.into()));
@@ -144,24 +145,25 @@
 
     let mut refused = Vec::new();
     for _ in 0..3 {
-        let seen = fetch(plain.address(), alert(A), PATIENCE).await.unwrap();
+        let seen = fetch(plain.address(), alert(A), ANSWER_TIMEOUT).await.unwrap();
         refused.push(seen.headers.contains_key(REFUSED_HEADER));
     }
     switches.clear();
-    let after = fetch(plain.address(), alert(A), PATIENCE).await.unwrap();
+    let after = fetch(plain.address(), alert(A), ANSWER_TIMEOUT).await.unwrap();
 
     assert_eq!(refused, [true, true, false]);
     assert_eq!(after.status, StatusCode::OK);
 }
 
-/// Sends a call over a bare socket and reads to the connection's end.
-async fn end_of(plain: &PlainServer) -> Result<usize, ErrorKind> {
-    let mut socket = TcpStream::connect(plain.address()).await.expect("it listens");
+/// Sends a call over a plain TCP socket and reads until the connection ends.
+async fn read_to_end_of(plain: &PlainServer) -> Result<usize, ErrorKind> {
+    let mut socket = TcpStream::connect(plain.address()).await.expect("the stand-in listens");
     let head = format!("POST /alerts HTTP/1.1\r\nhost: standin\r\n{ATTEMPT_HEADER}: {A}\r\n");
     let req = format!("{head}content-length: 0\r\n\r\n");
-    socket.write_all(req.as_bytes()).await.expect("the socket takes it");
+    socket.write_all(req.as_bytes()).await.expect("the socket accepts the request");
     let mut buf = Vec::new();
-    let reading = tokio::time::timeout(PATIENCE.as_duration(), socket.read_to_end(&mut buf)).await;
+    let reading =
+        tokio::time::timeout(ANSWER_TIMEOUT.as_duration(), socket.read_to_end(&mut buf)).await;
     reading.map_err(|_elapsed| ErrorKind::TimedOut)?.map_err(|err| err.kind())
 }
 
@@ -176,21 +178,21 @@
         let plain = start_plain().await;
         plain.front().switches().next(1, fault);
 
-        assert_eq!(end_of(&plain).await, expected, "{fault:?}");
+        assert_eq!(read_to_end_of(&plain).await, expected, "{fault:?}");
     }
 }
 
 #[tokio::test]
-async fn verify_refused_connections_are_not_run_and_the_port_comes_back() {
+async fn verify_refused_connections_run_nothing_and_the_port_reopens() {
     let plain = start_plain().await;
     let client = client();
-    let before = fetch_by(&client, plain.address(), alert(A), PATIENCE).await;
+    let before = fetch_by(&client, plain.address(), alert(A), ANSWER_TIMEOUT).await;
 
     plain.front().refuse_connections(true).await;
-    let refused = fetch(plain.address(), alert(A), PATIENCE).await.unwrap_err();
-    let pooled = fetch_by(&client, plain.address(), alert(A), PATIENCE).await;
+    let refused = fetch(plain.address(), alert(A), ANSWER_TIMEOUT).await.unwrap_err();
+    let pooled = fetch_by(&client, plain.address(), alert(A), ANSWER_TIMEOUT).await;
     plain.front().refuse_connections(false).await;
-    let after = fetch(plain.address(), alert(A), PATIENCE).await;
+    let after = fetch(plain.address(), alert(A), ANSWER_TIMEOUT).await;
 
     assert_eq!(refused.stage, Stage::Connect);
     assert!(before.is_ok() && pooled.is_ok() && after.is_ok());
@@ -201,27 +203,26 @@
 async fn verify_silent_connections_stay_silent_while_new_ones_work() {
     let plain = start_plain().await;
     let client = client();
-    fetch_by(&client, plain.address(), alert(A), PATIENCE).await.unwrap();
+    fetch_by(&client, plain.address(), alert(A), ANSWER_TIMEOUT).await.unwrap();
 
     plain.front().connections().silence_all();
-    let silent = fetch_by(&client, plain.address(), alert(A), SHORT).await.unwrap_err();
-    let new = fetch(plain.address(), alert(B), PATIENCE).await;
+    let silent = fetch_by(&client, plain.address(), alert(A), SHORT_TIMEOUT).await.unwrap_err();
+    let new = fetch(plain.address(), alert(B), ANSWER_TIMEOUT).await;
 
     assert!(silent.timed_out);
-    assert_eq!(plain.ledger().runs_of_body(BODY), 2, "a silent connection delivers nothing");
+    assert_eq!(plain.ledger().runs_of_body(BODY), 2, "a silent connection must not deliver a call");
     assert_eq!(new.unwrap().status, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn verify_paused_server_goes_on_with_what_it_was_sent() {
-    // Symptom: a call runs after its sender counted it as failed. Sequence: the process is paused,
-    // a call is sent, its sender gives up, the process goes on. Cause: a timeout taken for proof
-    // that nothing ran.
+async fn verify_paused_server_runs_pending_calls_when_resumed() {
+    // A timeout does not prove that a call did not run: a call sent to a paused process can run
+    // after its sender has timed out, once the process resumes.
     let plain = start_plain().await;
     plain.front().pause(true);
 
-    let sending = tokio::spawn(fetch(plain.address(), alert(A), PATIENCE));
-    let waiting = fetch(plain.address(), alert(B), SHORT).await.unwrap_err();
+    let sending = tokio::spawn(fetch(plain.address(), alert(A), ANSWER_TIMEOUT));
+    let waiting = fetch(plain.address(), alert(B), SHORT_TIMEOUT).await.unwrap_err();
     let runs_while_paused = plain.ledger().all().len();
     plain.front().pause(false);
     let answered = sending.await.unwrap();
@@ -232,15 +233,15 @@
 }
 
 #[tokio::test]
-async fn verify_crash_resets_what_is_open_and_a_restart_serves_again() {
+async fn verify_crash_resets_connections_and_restart_serves_again() {
     let engine = start(Default::default()).await;
     let answer = open(engine.address(), completion(A, &chat("Go on.", true, 100_000))).await;
 
     engine.crash().await;
-    let events = read_events(answer, PATIENCE).await;
-    let down = fetch(engine.address(), completion(B, &chat("Hm?", false, 1)), PATIENCE).await;
+    let events = read_events(answer, ANSWER_TIMEOUT).await;
+    let down = fetch(engine.address(), completion(B, &chat("Hm?", false, 1)), ANSWER_TIMEOUT).await;
     engine.restart().await;
-    let up = fetch(engine.address(), completion(B, &chat("Hm?", false, 1)), PATIENCE).await;
+    let up = fetch(engine.address(), completion(B, &chat("Hm?", false, 1)), ANSWER_TIMEOUT).await;
 
     assert!(events.failed && !events.closed);
     assert_eq!(down.unwrap_err().stage, Stage::Connect);
@@ -252,9 +253,9 @@
     let plain = start_plain().await;
     plain.set_leaving(true);
 
-    let seen = fetch(plain.address(), alert(A), PATIENCE).await.unwrap();
+    let seen = fetch(plain.address(), alert(A), ANSWER_TIMEOUT).await.unwrap();
     let report = call(Method::GET, REPORT_PATH, B, Vec::new());
-    let report = fetch(plain.address(), report, PATIENCE).await.unwrap();
+    let report = fetch(plain.address(), report, ANSWER_TIMEOUT).await.unwrap();
 
     let answer: PlainAnswer = serde_json::from_slice(&seen.body).unwrap();
     let expected = PlainAnswer { call: "POST /alerts".to_owned(), body: body_digest(BODY), run: 1 };
--- a/crates/anvilhook-standin/tests/http_platform.rs
+++ b/crates/anvilhook-standin/tests/http_platform.rs
@@ -1,5 +1,5 @@
-//! What only the HTTP binding of the platform meets: answers that no platform should give, an
-//! address where nobody listens, and connections that go silent.
+//! Failures that only the platform's HTTP binding can meet: malformed answers, an address without a
+//! listener, and connections that stop responding.
 
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
     (listener, address)
 }
 
-/// Answers every connection's first request with the same bytes, and closes it.
+/// Starts a listener that answers the first request of every connection with `bytes` and closes it.
 async fn answer_with(bytes: &'static [u8]) -> SocketAddr {
     let (listener, address) = listener().await;
     tokio::spawn(async move {
@@ -44,19 +44,20 @@
     address
 }
 
-/// Forwards connections to `to` until the sender says that all of them go silent; later ones work.
+/// Forwards connections to `to`. A message on the returned sender makes all open connections stop
+/// forwarding; later ones work.
 async fn forward(to: SocketAddr) -> (SocketAddr, watch::Sender<()>) {
     let (listener, address) = listener().await;
     let (silence, _) = watch::channel(());
-    let silences = silence.clone();
+    let silence_events = silence.clone();
     tokio::spawn(async move {
         while let Ok((mut near, _)) = listener.accept().await {
-            let mut silenced = silences.subscribe();
+            let mut silenced = silence_events.subscribe();
             tokio::spawn(async move {
                 let mut far = TcpStream::connect(to).await.unwrap();
                 tokio::select! {
                     _ = copy_bidirectional(&mut near, &mut far) => (),
-                    // Both ends stay open, and nothing passes any more.
+                    // Both ends stay open, and nothing is forwarded any more.
                     _ = silenced.changed() => std::future::pending().await,
                 }
             });
@@ -107,10 +108,9 @@
 
 #[tokio::test]
 async fn verify_silent_connections_cost_one_timeout_in_all() {
-    // Symptom: an instance loses a lease although the platform is well.
-    // Sequence: something between the two ends forgets all idle connections; each renewal takes
-    // the next one from the pool and waits for its timeout.
-    // Cause: a timeout said nothing about the other connections of the pool.
+    // Guards against an instance that loses its lease although the platform is healthy: a device on
+    // the path drops all idle connections from its tables, and each renewal takes the next pooled
+    // connection and waits for its timeout, because one timeout does not discard the others.
     let platform = LocalPlatform::new(ManualClock::new(), PlatformOptions::default());
     let server =
         PlatformServer::start("127.0.0.1:0".parse().unwrap(), platform.clone()).await.unwrap();
--- a/crates/anvilhook-standin/tests/platform_contract.rs
+++ b/crates/anvilhook-standin/tests/platform_contract.rs
@@ -1,5 +1,5 @@
-//! The contract of the platform's traits, kept by the in-process stand-in and by the HTTP binding
-//! over the stand-in's server.
+//! Contract of the platform's traits, checked on the stand-in within the process and on the HTTP
+//! binding over the stand-in's server.
 
 mod platform_fixtures;
 
@@ -29,15 +29,15 @@
 }
 
 contract! {
-    verify_transactions_are_whole_or_nothing
+    verify_transactions_are_atomic
     verify_scans_are_ordered_and_bounded
     verify_objects_are_stored_and_listed
     verify_the_instance_list_lags
-    verify_each_fault_tells_the_truth_about_its_effect
-    verify_a_cut_caller_is_cut_alone
+    verify_each_fault_has_its_stated_effect
+    verify_a_partition_affects_one_caller_only
     verify_a_lost_write_may_land_after_the_read_back
     verify_rates_past_the_limit_are_refused
-    verify_delayed_and_hanging_calls_go_on
+    verify_delayed_and_hanging_calls_complete_when_released
 }
 
 fn put(key: &str, value: &str) -> Write {
@@ -65,7 +65,7 @@
     table.read(&RowKey::new(key)).await.unwrap().map(|row| (row.version, row.value))
 }
 
-async fn verify_transactions_are_whole_or_nothing<P: Platform>(fixture: Fixture<P>) {
+async fn verify_transactions_are_atomic<P: Platform>(fixture: Fixture<P>) {
     let table = &fixture.subject;
     let a = RowKey::new("a");
     let at = |version| Condition::AtVersion { key: RowKey::new("a"), version };
@@ -82,14 +82,14 @@
     ];
 
     for (step, (txn, done, a_version, b_version)) in steps.into_iter().enumerate() {
-        let standing = table.read(&a).await.unwrap();
+        let current = table.read(&a).await.unwrap();
         let commit = table.commit(&txn).await.unwrap();
 
         match commit {
             Commit::Done => assert!(done, "step {step}"),
             Commit::Conflict { standing: shown } => {
                 assert!(!done, "step {step}");
-                assert_eq!(shown, Vec::from_iter(standing), "step {step}");
+                assert_eq!(shown, Vec::from_iter(current), "step {step}");
             }
         }
         let version = |row: Option<(u64, String)>| row.map(|row| row.0);
@@ -143,11 +143,12 @@
     clock.advance(Millis(300));
     platform.enter_instance(instance(ListedState::Leaving));
     let states = async || -> Vec<ListedState> {
-        let lines = InstanceList::list(subject).await.unwrap();
-        lines.into_iter().map(|line| line.state).collect()
+        let entries = InstanceList::list(subject).await.unwrap();
+        entries.into_iter().map(|entry| entry.state).collect()
     };
 
-    // From 300 ms on, each step of 200 ms shows what was entered 500 ms before it.
+    // The entries are made at 0 ms and 300 ms. Each is shown 500 ms later: after another 200 ms and
+    // another 300 ms.
     assert_eq!(states().await, []);
     clock.advance(Millis(200));
     assert_eq!(states().await, [ListedState::Live]);
@@ -158,7 +159,7 @@
     assert_eq!(states().await, []);
 }
 
-/// What a call came to.
+/// The outcome of a call.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Seen {
     Fine,
@@ -175,7 +176,7 @@
     }
 }
 
-/// A fault, what calls come to under it, and whether a write takes effect.
+/// A fault, the outcome of writes and reads under it, and whether a write takes effect.
 struct FaultCase {
     name: &'static str,
     inject: fn(&PlatformFaults),
@@ -223,7 +224,7 @@
     },
 ];
 
-async fn verify_each_fault_tells_the_truth_about_its_effect<P: Platform>(fixture: Fixture<P>) {
+async fn verify_each_fault_has_its_stated_effect<P: Platform>(fixture: Fixture<P>) {
     let Fixture { platform, caller, subject, .. } = &fixture;
     for faults in [platform.faults(), caller.faults()] {
         for case in FAULTS {
@@ -249,13 +250,13 @@
     }
 }
 
-async fn verify_a_cut_caller_is_cut_alone<P: Platform>(fixture: Fixture<P>) {
-    let Fixture { platform, caller, impatient, .. } = &fixture;
+async fn verify_a_partition_affects_one_caller_only<P: Platform>(fixture: Fixture<P>) {
+    let Fixture { platform, caller, short_timeout, .. } = &fixture;
     let other = platform.for_caller("other");
 
     caller.faults().set_reach(Reach::Cut);
-    let commit = impatient.commit(&insert("a", "1")).await;
-    let list = InstanceList::list(impatient).await;
+    let commit = short_timeout.commit(&insert("a", "1")).await;
+    let list = InstanceList::list(short_timeout).await;
 
     assert_eq!((seen(commit), seen(list)), (Seen::AnswerLost, Seen::AnswerLost));
     assert_eq!(other.commit(&insert("a", "2")).await, Ok(Commit::Done));
@@ -299,7 +300,7 @@
     assert_eq!((counts.commits, counts.rows_written, counts.reads, counts.refused), (2, 4, 4, 6));
 }
 
-async fn verify_delayed_and_hanging_calls_go_on<P: Platform>(fixture: Fixture<P>) {
+async fn verify_delayed_and_hanging_calls_complete_when_released<P: Platform>(fixture: Fixture<P>) {
     let Fixture { clock, caller, subject, .. } = fixture;
     let faults = caller.faults();
     type Change = fn(&PlatformFaults);
@@ -317,13 +318,13 @@
         while faults.waiting_calls() == 0 {
             tokio::task::yield_now().await;
         }
-        let held = caller.rows(name).is_empty();
+        let is_delayed = caller.rows(name).is_empty();
         clock.advance(Millis(40));
         release(&faults);
         let commit = call.await.unwrap();
         faults.heal();
 
-        assert!(held, "{name}");
+        assert!(is_delayed, "{name}");
         assert_eq!(commit, Ok(Commit::Done), "{name}");
     }
     assert_eq!(clock.now(), Millis(80));
