--- a/crates/anvilhook-authority/tests/tables.rs
+++ b/crates/anvilhook-authority/tests/tables.rs
@@ -82,7 +82,7 @@
 /// Guards against leases that lapse while the table is merely slow, because a step takes so long that
 /// the renewal comes too late. Every call to the table takes up to a second.
 #[tokio::test(flavor = "current_thread")]
-async fn verify_a_slow_table_only_delays_changes() {
+async fn verify_a_slow_table_costs_time_only() {
     for delay in [Millis(250), Millis(500), Millis(1_000)] {
         let case = format!("a delay of {delay}");
         let mut fleet = Fleet::new(FleetOptions::default());
--- a/crates/anvilhook-authority/tests/takeovers.rs
+++ b/crates/anvilhook-authority/tests/takeovers.rs
@@ -171,7 +171,7 @@
 /// killed; the third takes it; the platform reports that the second has terminated; the first resumes.
 /// Evidence about the last holder is no evidence about the earlier ones.
 #[tokio::test(flavor = "current_thread")]
-async fn verify_evidence_is_required_of_every_former_holder() {
+async fn verify_evidence_is_asked_of_every_former_holder() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let first = reach_moment(&mut fleet, Moment::Sending(IGNORES)).await;
     fleet.set_desired(CHECKS, adapter("second"));
@@ -199,7 +199,7 @@
 /// while an order runs. Its lease must not have to lapse, and the successor must not wait for a
 /// predecessor that has released the pool.
 #[tokio::test(flavor = "current_thread")]
-async fn verify_a_planned_stop_hands_over_immediately() {
+async fn verify_a_planned_stop_hands_over_at_once() {
     let mut fleet = Fleet::new(FleetOptions::default());
     let holder = reach_moment(&mut fleet, Moment::Running).await;
 
--- a/crates/anvilhook-store/src/archives.rs
+++ b/crates/anvilhook-store/src/archives.rs
@@ -1,11 +1,11 @@
-//! Moving old audit entries to the object store without a gap.
+//! Moves old audit entries to the object store without a gap.
 //!
-//! A segment of entries is archived in steps that can each be repeated. Its object is stored under
-//! a key that contains the digest of its content, so no later or slower archiver can replace it by
-//! something else. Then one transaction enters the segment and moves the marker; two instances
-//! that archive at once are told apart by the marker's version. Only after that, and after the
-//! object has been read back, are the rows removed. An interruption anywhere leaves at most an
-//! object that nothing points to.
+//! A segment of entries is archived in steps that can each be repeated. First, its object is stored
+//! under a key that contains the digest of its content, so no later or slower archiver can replace it
+//! by different content. Then one transaction writes the segment's row and advances the marker. It is
+//! conditioned on the marker's version, so of two instances that archive concurrently only one
+//! succeeds. The rows of the entries are removed only after that, and after the object has been read
+//! back. An interruption at any point leaves at most an unreferenced object.
 
 use std::sync::Arc;
 
@@ -20,15 +20,15 @@
 use crate::errors::{Error, Result};
 use crate::rows::{self, SEGMENT_PREFIX};
 
-/// `ArchiveOptions` says what is archived.
+/// `ArchiveOptions` sets which entries are archived.
 #[derive(Clone, Copy, Debug)]
 pub struct ArchiveOptions {
-    /// Entries older than this are archived. The age only decides where an entry is kept, so clocks
-    /// that disagree do no harm.
+    /// The age beyond which entries are archived. The age only determines where an entry is stored, so
+    /// clocks that differ do no harm.
     pub older_than: Millis,
-    /// The newest entries, of whatever age, that stay in the table for those who watch.
+    /// The number of newest entries that stay in the table for watchers, whatever their age.
     pub keep_entries: u64,
-    /// The most entries in one segment.
+    /// The maximum number of entries in one segment.
     pub segment_entries: usize,
 }
 
@@ -42,33 +42,34 @@
     }
 }
 
-/// `ArchiveStep` is what one call of `AuditArchive::step` did.
+/// `ArchiveStep` is the outcome of one call of `AuditArchive::step`.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum ArchiveStep {
-    /// A segment was entered; its rows are still there.
+    /// A segment was archived; the rows of its entries are still in the table.
     Archived {
         /// The segment's last revision.
         through: Revision,
     },
-    /// The rows of an archived segment were removed.
+    /// The rows of an archived segment's entries were removed.
     Pruned {
         /// The segment's last revision.
         through: Revision,
     },
-    /// Another instance was faster.
+    /// Another instance changed the marker first, so nothing was done.
     Overtaken,
-    /// Nothing is old enough.
+    /// No entry is old enough.
     Idle,
 }
 
-/// `Marker` says how far the audit trail is archived, and how far its rows are removed.
+/// `Marker` is the row that records up to which revision the audit trail is archived, and up to which
+/// its rows are removed.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 struct Marker {
     archived_through: Revision,
     pruned_through: Revision,
 }
 
-/// `Segment` is an archived part of the audit trail.
+/// `Segment` is the row that describes an archived part of the audit trail.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 struct Segment {
     first: Revision,
@@ -76,7 +77,8 @@
     object: String,
 }
 
-/// `AuditArchive` archives the audit trail and lists it, wherever an entry is kept.
+/// `AuditArchive` archives the audit trail, and lists its entries both from the archive and from the
+/// table.
 #[derive(Clone, Debug)]
 pub struct AuditArchive<T, O> {
     store: ConfigurationStore<T>,
@@ -85,7 +87,7 @@
 }
 
 impl<T: Table, O: ObjectStore> AuditArchive<T, O> {
-    /// Makes an archive.
+    /// Creates an archive.
     pub fn new(store: ConfigurationStore<T>, objects: O, options: ArchiveOptions) -> Self {
         Self { store, objects, options: Arc::new(options) }
     }
@@ -94,8 +96,8 @@
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the platform failed; the next call goes on where this one ended.
-    /// `Error::BadRow` if an archived object is not what was stored; its rows are kept.
+    /// `Error::Platform` if the platform failed; the next call continues where this one ended.
+    /// `Error::BadRow` if an archived object differs from what was stored; its rows are retained.
     pub async fn step(&self, now: WallTime) -> Result<ArchiveStep> {
         let (marker, version) = self.marker().await?;
         if marker.pruned_through < marker.archived_through {
@@ -123,7 +125,7 @@
         };
         let (first, last) = (first.revision, last.revision);
 
-        // The object is stored first, so that an entered segment always has one.
+        // The object is stored first, so that every segment in the table has an object.
         let content = encode(&entries)?;
         let object = object_key(first, last, &content);
         self.objects.put(&object, content).await?;
@@ -152,8 +154,8 @@
         let first = Revision(marker.pruned_through.0 + 1);
         let segment = self.segment_of(first).await?;
 
-        // Reading the object back notices a store that lost or damaged it while its entries can
-        // still be had from the table.
+        // The object is read back to detect that the store lost or damaged it while its entries are
+        // still in the table.
         let entries = self.read_segment(&segment).await?;
         let mut writes: Vec<Write> = Vec::new();
         for entry in &entries {
@@ -166,7 +168,8 @@
         self.commit(version, writes, done).await
     }
 
-    /// Commits on the marker as it was read, so that only one of several archivers goes on.
+    /// Commits on the condition that the marker is unchanged, so that only one of several archivers
+    /// continues.
     async fn commit(
         &self,
         version: Option<u64>,
@@ -187,8 +190,8 @@
 
     /// Finds the segment that contains a revision.
     async fn segment_of(&self, revision: Revision) -> Result<Segment> {
-        // Segments stand under their last revisions, so the one wanted is the first that ends at or
-        // after the revision.
+        // A segment's key contains its last revision, so the requested segment is the first that ends
+        // at or after the revision.
         let before = rows::segment_key(Revision(revision.0 - 1));
         let found = self.store.table.scan(SEGMENT_PREFIX, Some(&before), 1).await?;
         let segment: Option<Segment> = found.first().map(rows::decode).transpose()?;
@@ -207,8 +210,8 @@
         serde_json::from_slice(&content).map_err(|err| Error::bad_row(&segment.object, err))
     }
 
-    /// Lists up to `limit` entries from a revision on, without a gap, from the archive and from the
-    /// table. There are fewer than `limit` before the end where the two meet.
+    /// Lists up to `limit` entries from a revision on, without a gap, from the archive or from the
+    /// table. A page may be shorter than `limit` before the end of the trail: it ends with its segment.
     ///
     /// # Errors
     ///
--- a/crates/anvilhook-store/src/changes.rs
+++ b/crates/anvilhook-store/src/changes.rs
@@ -1,4 +1,4 @@
-//! Changing the configuration, and the truth about a change whose answer was lost.
+//! Changes the configuration, and determines the outcome of a change whose answer was lost.
 
 use std::sync::Arc;
 
@@ -15,34 +15,34 @@
 use crate::errors::{Error, Result};
 use crate::rows;
 
-/// `ChangeRequest` asks for one change.
+/// `ChangeRequest` is the request for one change.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ChangeRequest {
-    /// The id of the change. Asking again with the same id never makes the change twice.
+    /// The id of the change. A repeated request with the same id never makes the change twice.
     pub id: ChangeId,
-    /// Who asks.
+    /// The subject that requests the change.
     pub subject: SubjectName,
-    /// When, for the audit trail.
+    /// The time of the request, for the audit trail.
     pub at: WallTime,
-    /// What is to be done.
+    /// The requested change.
     pub change: Change,
-    /// What the change expects to find.
+    /// The state of the resource that the change expects.
     pub expected: Expected,
 }
 
-/// `Accepted` is a change that is part of the configuration for good.
+/// `Accepted` is a change that is permanently part of the configuration.
 #[derive(Clone, Debug)]
 pub struct Accepted {
     /// The revision that it made.
     pub revision: Revision,
     /// The configuration at that revision or a later one.
     pub configuration: Arc<Configuration>,
-    /// The changes from the base that the caller gave to that configuration, as far as they are
-    /// known without a gap.
+    /// The changes between the caller's base and that configuration, as far as they are known without
+    /// a gap.
     pub entries: Vec<AuditEntry>,
 }
 
-/// `ChangeState` is what is known of a change by its id.
+/// `ChangeState` is the known status of a change, looked up by its id.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "state")]
 pub enum ChangeState {
@@ -53,26 +53,26 @@
     },
     /// It was not accepted and never will be.
     NotAccepted,
-    /// It is not recorded, but a commit that is still under way might be.
+    /// It is not recorded, but a commit that is still in progress may record it.
     Unknown,
 }
 
-/// `Attempt` is how one try to commit a change ended, if it did not fail for good.
+/// `Attempt` is the outcome of one attempt to commit a change, unless the change has failed for good.
 enum Attempt {
     Done(Accepted),
-    /// The head moved between reading and committing; nothing was done.
+    /// The head changed between the read and the commit, so the commit had no effect.
     HeadMoved,
-    /// The commit on this revision may have taken effect.
+    /// The commit on top of this revision may have taken effect.
     InDoubt(Revision),
 }
 
 impl<T: Table> ConfigurationStore<T> {
-    /// Makes a change, its revision and its audit entry in one transaction.
+    /// Commits a change, its revision and its audit entry in one transaction.
     ///
-    /// Every change moves the head and is conditioned on it, so the checks made before a commit
-    /// hold for it, that of the resource's version among them. A commit whose answer is lost is
-    /// tried again with the same id: of two tries on one head only one can take effect, and on a
-    /// later head the id shows what became of the earlier try.
+    /// Every change advances the head and is conditioned on it, so the checks made before a commit,
+    /// such as the one of the resource's version, still hold when it takes effect. A commit whose
+    /// answer is lost is repeated with the same id: of two attempts on the same head only one can take
+    /// effect, and on a later head the id shows the outcome of the earlier attempt.
     ///
     /// # Errors
     ///
@@ -93,21 +93,21 @@
                         break;
                     }
                 }
-                Err(err) => return Err(truth(err, in_doubt, req.id)),
+                Err(err) => return Err(final_error(err, in_doubt, req.id)),
             }
         }
-        let message = "others changed the configuration at the same time; try again".to_owned();
-        Err(truth(Error::NotAccepted { message }, in_doubt, req.id))
+        let message = "too many other changes at the same time; try again".to_owned();
+        Err(final_error(Error::NotAccepted { message }, in_doubt, req.id))
     }
 
     async fn try_change(&self, known: &mut Known, req: &ChangeRequest) -> Result<Attempt> {
-        // The head is read before the id. Once the head has moved past an earlier try, that try can
-        // no longer take effect, so an id that is absent then stays absent.
+        // The head is read before the id. Once the head has advanced, an earlier attempt can no longer
+        // take effect, so an id that is absent then stays absent.
         let caught_up = self.catch_up(&known.configuration).await?;
         let head_version = caught_up.head_version;
         known.advance(caught_up);
         if let Some(revision) = self.recorded(req).await? {
-            // The id was recorded by a change after the head that was read; read on to contain it.
+            // The change was recorded after the head was read; read again to include it.
             if known.configuration.revision() < revision {
                 return Ok(Attempt::HeadMoved);
             }
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Returns the revision that an earlier try of the same request made, if there was one.
+    /// Returns the revision that an earlier attempt of the same request made, if there is one.
     async fn recorded(&self, req: &ChangeRequest) -> Result<Option<Revision>> {
         let Some(revision) = self.revision_of(req.id).await? else { return Ok(None) };
         let row = self.table.read(&rows::change_key(revision)).await?;
@@ -170,18 +170,19 @@
         }
     }
 
-    /// Says what became of a change.
+    /// Returns the status of a change.
     ///
-    /// `base` is the revision that `Error::Unknown` named. Without it a change that is not recorded
-    /// may still be under way. Ids are kept as long as their changes are not archived.
+    /// `base` is the revision from `Error::Unknown`. Without it, a change that is not recorded may
+    /// still be in progress. Ids are retained until their changes are archived.
     ///
     /// # Errors
     ///
     /// `Error::Platform` if the table cannot be read.
     pub async fn change_state(&self, id: ChangeId, base: Option<Revision>) -> Result<ChangeState> {
-        // Once another change has made the revision that the commit was to make, it can no longer
-        // take effect. This is read before the id, so that an id absent then stays absent. Ids are
-        // removed together with archived changes, so without that row an absent id proves nothing.
+        // Once another change has made the revision that the commit would have made, the commit can no
+        // longer take effect. This is read before the id, so that an id that is absent then stays
+        // absent. Ids are removed together with archived changes, so if that row is missing, an absent
+        // id proves nothing.
         let is_settled = match base {
             Some(base) => {
                 let next = rows::change_key(Revision(base.0 + 1));
@@ -197,7 +198,7 @@
     }
 }
 
-/// `Known` is the configuration as a request has come to know it, try by try.
+/// `Known` is the newest configuration that a request has read or made, and the changes that led to it.
 struct Known {
     configuration: Arc<Configuration>,
     entries: Vec<AuditEntry>,
@@ -205,11 +206,11 @@
 
 impl Known {
     fn advance(&mut self, caught_up: CatchUp) {
-        let goes_on = caught_up
+        let is_contiguous = caught_up
             .entries
             .first()
             .is_some_and(|first| first.revision.0 == self.configuration.revision().0 + 1);
-        if caught_up.configuration.revision() > self.configuration.revision() && !goes_on {
+        if caught_up.configuration.revision() > self.configuration.revision() && !is_contiguous {
             self.entries.clear();
         }
         self.entries.extend(caught_up.entries);
@@ -228,7 +229,7 @@
     }
 }
 
-/// Makes the transaction of a change on the head as it was read.
+/// Creates the transaction of a change, conditioned on the head as it was read.
 fn transaction(entry: &AuditEntry, head_version: Option<u64>) -> Result<Transaction> {
     let head_key = rows::head_key();
     let unmoved = match head_version {
@@ -257,12 +258,12 @@
     })
 }
 
-/// Says what a failure means for the change.
+/// Returns the error that reports whether the change may have been accepted.
 ///
-/// A try in doubt was made on a state that passed every check. A definite refusal can therefore
-/// only come from a later head, on which that try cannot take effect any more. Only a failure to
-/// read leaves the doubt.
-fn truth(err: Error, in_doubt: Option<Revision>, id: ChangeId) -> Error {
+/// An attempt in doubt was made on a state that passed every check. A definite refusal can therefore
+/// only come from a later head, on which that attempt cannot take effect any more. After any other
+/// failure, the attempt stays in doubt.
+fn final_error(err: Error, in_doubt: Option<Revision>, id: ChangeId) -> Error {
     let is_refusal =
         matches!(err, Error::Invalid(_) | Error::Conflict { .. } | Error::ChangeIdReused { .. });
     match in_doubt {
--- a/crates/anvilhook-store/src/claims/epochs.rs
+++ b/crates/anvilhook-store/src/claims/epochs.rs
@@ -1,9 +1,9 @@
-//! Epochs: the time by which claims expire, without comparing the clocks of two machines.
+//! Epochs measure the time after which claims expire without comparing the clocks of two machines.
 //!
-//! The present epoch is the version of one row. An instance begins a new one only after it has
-//! itself, by its own monotonic clock, seen the present one stand for its whole length. So a claim
-//! written in epoch `e` has been kept for the whole of the retention when epoch
-//! `e + 1 + EPOCHS_PER_RETENTION` begins, whatever any clock of day says.
+//! The current epoch is the version of one row. An instance begins a new epoch only after it has
+//! observed the current one for a whole epoch length, on its own monotonic clock. So a claim written in
+//! epoch `e` has been retained for the whole retention time when epoch `e + 1 + EPOCHS_PER_RETENTION`
+//! begins, regardless of any wall clock.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -12,13 +12,13 @@
 
 use super::options::EPOCHS_PER_RETENTION;
 
-/// The row whose version is the present epoch.
+/// The row whose version is the current epoch.
 const EPOCH_ROW: &str = "claim-epoch";
 
-/// The value of the epoch's row, whose version alone matters.
+/// The value of the epoch's row, of which only the version matters.
 const EMPTY_VALUE: &str = "{}";
 
-/// `Epochs` is what an instance knows of the present epoch.
+/// `Epochs` caches the current epoch for an instance.
 #[derive(Debug, Default)]
 pub struct Epochs {
     /// Zero until the row has been read.
@@ -31,12 +31,12 @@
         RowKey::new(EPOCH_ROW)
     }
 
-    /// Returns the condition that `epoch` is still the present one.
+    /// Returns the condition that `epoch` is still the current one.
     pub(super) fn condition(epoch: u64) -> Condition {
         Condition::AtVersion { key: Self::row_key(), version: epoch }
     }
 
-    /// Returns the present epoch as far as it is known, and asks the table only at first.
+    /// Returns the latest known epoch. Reads the table only if none is known yet.
     pub(super) async fn present(&self, table: &impl Table) -> Result<u64> {
         match self.known.load(Ordering::Relaxed) {
             0 => self.refresh(table).await,
@@ -44,20 +44,20 @@
         }
     }
 
-    /// Reads the present epoch, and begins the first one if there is none.
+    /// Reads the current epoch, and begins the first one if there is none.
     pub(super) async fn refresh(&self, table: &impl Table) -> Result<u64> {
         let key = Self::row_key();
         if let Some(row) = table.read(&key).await? {
             self.learn(row.version);
             return Ok(row.version);
         }
-        // Whoever writes the row first, it begins at version 1.
+        // The row begins at version 1, whichever instance writes it first.
         begin(table, Condition::Absent { key }).await?;
         self.learn(1);
         Ok(1)
     }
 
-    /// Takes note of an epoch; an earlier one than known changes nothing.
+    /// Records an epoch. One that is earlier than the known one changes nothing.
     pub(super) fn learn(&self, epoch: u64) {
         self.known.fetch_max(epoch, Ordering::Relaxed);
     }
@@ -73,7 +73,7 @@
     }
 }
 
-/// `EpochWatch` measures how long this instance has seen the present epoch stand.
+/// `EpochWatch` measures for how long this instance has observed the current epoch.
 #[derive(Debug, Default)]
 pub(super) struct EpochWatch {
     seen: u64,
@@ -81,7 +81,7 @@
 }
 
 impl EpochWatch {
-    /// Begins the next epoch if this one has been seen to stand for `length`.
+    /// Begins the next epoch if the current one has been observed for `length`.
     pub(super) async fn advance(
         &mut self,
         epochs: &Epochs,
@@ -89,17 +89,17 @@
         clock: &impl Clock,
         length: Millis,
     ) -> Result<()> {
-        let asked_at = clock.now();
+        let sent_at = clock.now();
         let present = epochs.refresh(table).await?;
         if present != self.seen {
-            // The time is read after the answer: the epoch may have begun while it was on its way.
+            // The time is taken after the answer, because the epoch may have begun during the call.
             *self = EpochWatch { seen: present, since: clock.now() };
             return Ok(());
         }
-        if asked_at - self.since < length {
+        if sent_at - self.since < length {
             return Ok(());
         }
-        // If another instance was first, the next epoch has begun as well.
+        // If this conflicts, another instance has begun the next epoch.
         begin(table, Epochs::condition(present)).await?;
         epochs.refresh(table).await?;
         Ok(())
--- a/crates/anvilhook-store/src/claims/keys.rs
+++ b/crates/anvilhook-store/src/claims/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of claims, and digests of what was sent under them.
+//! Keys of claims, and digests of the requests that were sent under them.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 use serde::{Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// What the keys of all claims begin with.
+/// The prefix of the rows of claims.
 pub(super) const CLAIMS_PREFIX: &str = "claims/";
 
 /// `ClaimKey` is a caller's idempotency key within an account and a service.
 ///
-/// The caller's text is only kept as a digest, so it may hold anything and be of any length.
+/// Only a digest of the caller's text is stored, so the text may be arbitrary and of any length.
 ///
 /// ```
 /// use anvilhook_core::names::{AccountName, ServiceName};
@@ -28,7 +28,7 @@
 pub struct ClaimKey(RowKey);
 
 impl ClaimKey {
-    /// Makes a key of the caller's text.
+    /// Creates a key from the caller's text.
     pub fn new(account: &AccountName, service: &ServiceName, text: &str) -> Self {
         let digest = hex(Sha256::digest(text));
         Self(RowKey::new(format!("{CLAIMS_PREFIX}{account}/{service}/{digest}")))
@@ -40,7 +40,8 @@
     }
 }
 
-/// `BodyDigest` tells whether two requests with one key ask for the same thing.
+/// `BodyDigest` is the digest of a request. It is equal for two requests with the same key only if the
+/// requests are the same.
 ///
 /// ```
 /// use anvilhook_store::claims::BodyDigest;
@@ -53,11 +54,11 @@
 pub struct BodyDigest(Arc<str>);
 
 impl BodyDigest {
-    /// Digests the parts that make a request what it is, such as method, path and body.
+    /// Digests the parts that identify a request, such as method, path and body.
     pub fn of(parts: &[&[u8]]) -> Self {
         let mut hasher = Sha256::new();
         for part in parts {
-            // The length keeps a byte from moving from one part to the next unnoticed.
+            // The length ensures that a byte moved from one part to the next changes the digest.
             hasher.update((part.len() as u64).to_be_bytes());
             hasher.update(part);
         }
@@ -66,7 +67,7 @@
 }
 
 impl From<[u8; 32]> for BodyDigest {
-    /// Takes over a SHA-256 digest that was made elsewhere.
+    /// Converts a SHA-256 digest that was computed elsewhere.
     fn from(digest: [u8; 32]) -> Self {
         Self(Arc::from(hex(digest)))
     }
--- a/crates/anvilhook-store/src/claims/mod.rs
+++ b/crates/anvilhook-store/src/claims/mod.rs
@@ -1,21 +1,21 @@
-//! Claims: a keyed request that may not be repeated runs at most once, whichever instances it
+//! Claims ensure that a non-idempotent request with a key runs at most once, whichever instances it
 //! reaches.
 //!
-//! A caller's repeat commonly lands on another instance, so the memory of a key cannot be local. A
-//! request is dispatched only after its claim is known to stand in the platform's table. The claim
-//! costs one write before the request runs and one after it, and no read.
+//! A caller's repeat commonly reaches another instance, so the record of a key cannot be local. A
+//! request is dispatched only after its claim is known to be in the platform's table. A claim costs one
+//! write before the request runs, one write after it, and no read.
 //!
-//! What keeps this safe when answers are lost and writes land late:
+//! These rules keep claims safe when answers are lost and writes take effect late:
 //!
-//! - A claim's row is never deleted to free its key. A request that is known not to have run marks
-//!   its row as released, and the next claim takes the row over at its version. So a row's version
-//!   only grows, and a write that lands late finds another version and does nothing.
-//! - Every write of a claim also requires the present epoch (see [`epochs`]). Rows are deleted only
-//!   by a sweep, in a later epoch than their last write, so a write from before the deletion can
-//!   not land after it on a row that merely has the same version again.
-//! - A write whose answer was lost is sent again as it was. If the first took effect the conflict
-//!   shows the row with this attempt's id, and if it lands later it does nothing. A read would
-//!   leave open whether the write is yet to land.
+//! - A claim's row is never deleted to free its key. For a request that is known not to have run, the
+//!   row is marked as released, and the next claim takes the row over at its version. So a row's
+//!   version only grows, and a late write finds another version and has no effect.
+//! - Every write of a claim also requires the current epoch (see [`epochs`]). Rows are deleted only by
+//!   a sweep, in a later epoch than their last write. So a write from before the deletion cannot take
+//!   effect after it on a new row that happens to have the same version.
+//! - A write whose answer was lost is sent again unchanged. If the first one took effect, the conflict
+//!   returns the row with this attempt's id; if it takes effect later, it changes nothing. A read could
+//!   not determine whether the write may still take effect.
 //!
 //! For more information, see `docs/design/claims.md`.
 
@@ -41,29 +41,29 @@
 use epochs::Epochs;
 use writes::{Expected, Written};
 
-/// `ClaimRequest` is what an instance wants to run.
+/// `ClaimRequest` identifies the request that an instance is about to run.
 #[derive(Clone, Debug)]
 pub struct ClaimRequest {
     /// The caller's key.
     pub key: ClaimKey,
-    /// What the caller sent under the key.
+    /// The digest of what the caller sent under the key.
     pub body: BodyDigest,
-    /// The id of the attempt that is to run. No two claims may share one.
+    /// The id of the attempt that is to run. It must be unique among all claims.
     pub attempt: AttemptId,
-    /// The time of day, for people.
+    /// The wall-clock time, for display only.
     pub claimed_at: WallTime,
-    /// When the caller's deadline has passed, on the instance's clock; nothing is tried after it.
+    /// The caller's deadline, on the instance's clock. No write is tried after it.
     pub deadline: Millis,
 }
 
-/// `HeldClaim` is a claim of this process. It is not cloned, so that it is settled once.
+/// `HeldClaim` is a claim of this process. It is not `Clone`, so that it is settled only once.
 #[derive(Debug)]
 pub struct HeldClaim {
     key: ClaimKey,
     claim: Claim,
-    /// What the claim's write expects to stand before it.
+    /// The row that the claim's write expects before it.
     before: Expected,
-    /// The version of the claim's row; none while it is not known whether the claim stands.
+    /// The version of the claim's row, or `None` if it is not known whether the claim was written.
     version: Option<u64>,
 }
 
@@ -73,7 +73,7 @@
         &self.claim
     }
 
-    fn standing_at(self, version: u64) -> Self {
+    fn with_version(self, version: u64) -> Self {
         Self { version: Some(version), ..self }
     }
 
@@ -82,31 +82,32 @@
     }
 }
 
-/// `ClaimOutcome` is what became of an attempt to claim a key.
+/// `ClaimOutcome` is the outcome of an attempt to claim a key.
 #[derive(Debug)]
 pub enum ClaimOutcome {
-    /// The claim stands: the request may be dispatched, once, and must be settled by
+    /// The claim was written: the request may be dispatched once, and must be settled by
     /// `Claims::record` or `Claims::release`.
     Won(HeldClaim),
-    /// An earlier request with the key has ended; this is its outcome.
+    /// An earlier request with the key has ended with this outcome.
     Recorded(StoredOutcome),
-    /// An earlier request with the key may have run, may be running or may yet run. Its outcome is
-    /// not known, and perhaps never will be.
+    /// An earlier request with the key may have run, may be running or may still run. Its outcome is
+    /// not known, and may never be.
     MayHaveRun(Claim),
     /// The key was used with another body. This request was not run.
     KeyReused(Claim),
-    /// The claim could not be made. This request was not run, because nothing is dispatched
-    /// without a claim that is known to stand.
+    /// The claim could not be made. This request was not run, because nothing is dispatched without a
+    /// claim that is known to be written.
     Refused {
-        /// What the table answered.
+        /// The table's error.
         err: Error,
-        /// The claim, if it may stand or land later. Until it is released, a repeat hears that the
-        /// request may have run; pass it to `Claims::release` when the table answers again.
+        /// The claim, if it may have been written or may still be. Until it is released, a repeat gets
+        /// the answer that the request may have run. Pass it to `Claims::release` when the table
+        /// answers again.
         doubtful: Option<HeldClaim>,
     },
 }
 
-/// `Claims` makes and settles claims for one instance. Clones share what they know of the table.
+/// `Claims` makes and settles claims for one instance. Clones share the cached epoch.
 #[derive(Clone, Debug)]
 pub struct Claims<T, C> {
     table: T,
@@ -117,7 +118,7 @@
 }
 
 impl<T: Table, C: Clock> Claims<T, C> {
-    /// Makes the claims of one instance. The table is not asked yet.
+    /// Creates the claims of one instance, without calling the table yet.
     pub fn new(table: T, clock: C, instance: InstanceName, options: ClaimOptions) -> Self {
         Self { table, clock, instance, options, epochs: Arc::default() }
     }
@@ -155,27 +156,27 @@
     /// };
     ///
     /// assert!(matches!(claims.claim(&req).await, ClaimOutcome::Won(_)));
-    /// // A repeat has an attempt of its own.
+    /// // A repeat is another attempt.
     /// req.attempt = AttemptId(2);
     /// assert!(matches!(claims.claim(&req).await, ClaimOutcome::MayHaveRun(_)));
     /// # });
     /// ```
     pub async fn claim(&self, req: &ClaimRequest) -> ClaimOutcome {
         let mut before = Expected::Absent;
-        // Each round but the last ends because another instance changed the row meanwhile.
+        // An iteration is repeated only if another instance has changed the row meanwhile.
         for _ in 0..self.options.max_tries {
             let held = self.unwritten(req, before);
-            let standing = match self.write(&held.key, before, &held.claim, req.deadline).await {
-                Ok(Written::Done) => return ClaimOutcome::Won(held.standing_at(before.next())),
-                Ok(Written::Standing(standing)) => standing,
+            let current = match self.write(&held.key, before, &held.claim, req.deadline).await {
+                Ok(Written::Done) => return ClaimOutcome::Won(held.with_version(before.next())),
+                Ok(Written::Conflict(current)) => current,
                 Err(failure) => {
                     let doubtful = failure.in_doubt.then_some(held);
                     return ClaimOutcome::Refused { err: failure.err, doubtful };
                 }
             };
-            before = match self.judge(req, held, standing).await {
-                Judgement::TryAgain(before) => before,
-                Judgement::Final(outcome) => return *outcome,
+            before = match self.resolve_conflict(req, held, current).await {
+                Resolution::Retry(before) => before,
+                Resolution::Final(outcome) => return *outcome,
             };
         }
         ClaimOutcome::Refused { err: keeps_changing(), doubtful: None }
@@ -187,103 +188,108 @@
             body: req.body.clone(),
             instance: self.instance.clone(),
             claimed_at: req.claimed_at,
-            // The write sets it.
+            // `write` sets the epoch.
             epoch: 0,
             state: ClaimState::Claimed,
         };
         HeldClaim { key: req.key.clone(), claim, before, version: None }
     }
 
-    /// Judges what stands in place of a claim.
-    async fn judge(&self, req: &ClaimRequest, held: HeldClaim, standing: Option<Row>) -> Judgement {
-        let Some(row) = standing else {
-            // The row that was to be taken over has gone.
-            return Judgement::TryAgain(Expected::Absent);
+    /// Decides how to proceed when another row is in the place of a claim.
+    async fn resolve_conflict(
+        &self,
+        req: &ClaimRequest,
+        held: HeldClaim,
+        current: Option<Row>,
+    ) -> Resolution {
+        let Some(row) = current else {
+            // The row that was to be taken over has been deleted.
+            return Resolution::Retry(Expected::Absent);
         };
         let claim = match Claim::decode(&row) {
             Ok(claim) => claim,
-            Err(err) => return Judgement::refused(err),
+            Err(err) => return Resolution::refused(err),
         };
         if claim.attempt == req.attempt && claim.state == ClaimState::Claimed {
-            // The first write took effect and its answer was lost.
-            return Judgement::of(ClaimOutcome::Won(held.standing_at(row.version)));
+            // An earlier write took effect and its answer was lost.
+            return Resolution::of(ClaimOutcome::Won(held.with_version(row.version)));
         }
         if claim.body != req.body {
-            return Judgement::of(ClaimOutcome::KeyReused(claim));
+            return Resolution::of(ClaimOutcome::KeyReused(claim));
         }
         match claim.state {
-            ClaimState::Claimed => Judgement::of(ClaimOutcome::MayHaveRun(claim)),
-            ClaimState::Recorded { outcome } => Judgement::of(ClaimOutcome::Recorded(outcome)),
+            ClaimState::Claimed => Resolution::of(ClaimOutcome::MayHaveRun(claim)),
+            ClaimState::Recorded { outcome } => Resolution::of(ClaimOutcome::Recorded(outcome)),
             ClaimState::Released => match self.expect_released(&row, &claim).await {
-                Ok(before) => Judgement::TryAgain(before),
-                Err(err) => Judgement::refused(err),
+                Ok(before) => Resolution::Retry(before),
+                Err(err) => Resolution::refused(err),
             },
         }
     }
 
-    /// Returns what a claim that takes a released row over must expect.
+    /// Returns the expectation for the write of a claim that takes over a released row.
     async fn expect_released(&self, row: &Row, claim: &Claim) -> Result<Expected> {
         if self.epochs.is_expired(claim.epoch) {
-            // A sweep may delete the row in this very epoch, after which the same version can come
-            // to stand for another claim. So the row is deleted first, as the sweep would.
+            // A sweep may delete the row in this epoch, after which the row of another claim can reach
+            // the same version. So the row is deleted first, as a sweep would do.
             self.delete_expired(row).await?;
             return Ok(Expected::Absent);
         }
         Ok(Expected::Released { version: row.version, epoch: claim.epoch })
     }
 
-    /// Records the outcome of a request that ran or may have run, for its repeats.
+    /// Records the outcome of a request that ran or may have run, to answer its repeats.
     ///
-    /// If this fails, a repeat hears that the request may have run. The claim stays held, and the
-    /// call may be made again.
+    /// If this fails, a repeat gets the answer that the request may have run. The claim stays held, and
+    /// the call may be repeated.
     ///
     /// # Errors
     ///
-    /// The table's error after the last try, or `Error::Unavailable` if the claim does not stand.
+    /// The table's error after the last try, or `Error::Unavailable` if the claim is not in the table.
     pub async fn record(&self, held: &HeldClaim, outcome: StoredOutcome) -> Result<()> {
         let Some(version) = held.version else {
-            return Err(does_not_stand());
+            return Err(claim_missing());
         };
         let outcome = outcome.bounded(self.options.max_body_bytes);
         let claim = held.in_state(ClaimState::Recorded { outcome });
         match self.write(&held.key, Expected::Own { version }, &claim, Millis::MAX).await {
             Ok(Written::Done) => Ok(()),
             // An earlier try took effect and its answer was lost.
-            Ok(Written::Standing(Some(row)))
+            Ok(Written::Conflict(Some(row)))
                 if Claim::decode(&row)?.attempt == held.claim.attempt =>
             {
                 Ok(())
             }
-            Ok(Written::Standing(_)) => Err(does_not_stand()),
+            Ok(Written::Conflict(_)) => Err(claim_missing()),
             Err(failure) => Err(failure.err),
         }
     }
 
     /// Frees the key of a request that is known not to have run, so that a repeat may run.
     ///
-    /// This also settles a claim that is in doubt: it is marked as released if it stands, and kept
-    /// from landing later if it does not. If this fails, it may be called again at any time.
+    /// This also settles a claim in doubt: if it was written, it is marked as released; if not, its
+    /// write is prevented from taking effect later. If this fails, it may be called again at any time.
     ///
     /// # Errors
     ///
     /// The table's error after the last try.
     pub async fn release(&self, held: &HeldClaim) -> Result<()> {
         let released = held.in_state(ClaimState::Released);
-        // The row of a doubtful claim may be another's, whatever its version. Such a claim is first
-        // kept from landing, by a write that expects what the claim expects; only a row that shows
-        // the attempt's id is known to be its own.
+        // If a claim is in doubt, its row may belong to another claim, whatever its version. So the
+        // claim's own write is first prevented from taking effect, by a write with the same
+        // expectation. Only a row with the attempt's id is known to be the claim's own.
         let mut expected = match held.version {
             Some(version) => Expected::Own { version },
             None => held.before,
         };
         for _ in 0..self.options.max_tries {
             let written = self.write(&held.key, expected, &released, Millis::MAX).await;
-            let standing = match written.map_err(|failure| failure.err)? {
+            let current = match written.map_err(|failure| failure.err)? {
                 Written::Done => return Ok(()),
-                Written::Standing(standing) => standing,
+                Written::Conflict(current) => current,
             };
-            let Some(row) = standing else {
-                // What the claim expects is gone, so it cannot land any more.
+            let Some(row) = current else {
+                // The row that the claim expects was deleted, so the claim cannot take effect any more.
                 return Ok(());
             };
             let claim = Claim::decode(&row)?;
@@ -296,21 +302,21 @@
     }
 }
 
-/// `Judgement` is what follows from the row that stands in place of a claim.
-enum Judgement {
-    /// The claim is to be tried again on this expectation.
-    TryAgain(Expected),
+/// `Resolution` is the way to proceed after a claim's write conflicted with another row.
+enum Resolution {
+    /// The claim is to be tried again with this expectation.
+    Retry(Expected),
     /// The outcome is known.
     Final(Box<ClaimOutcome>),
 }
 
-impl Judgement {
+impl Resolution {
     fn of(outcome: ClaimOutcome) -> Self {
-        Judgement::Final(Box::new(outcome))
+        Resolution::Final(Box::new(outcome))
     }
 
     fn refused(err: Error) -> Self {
-        Judgement::of(ClaimOutcome::Refused { err, doubtful: None })
+        Resolution::of(ClaimOutcome::Refused { err, doubtful: None })
     }
 }
 
@@ -318,6 +324,6 @@
     Error::Unavailable { message: "the claim's row kept changing".to_owned() }
 }
 
-fn does_not_stand() -> Error {
-    Error::Unavailable { message: "the claim does not stand".to_owned() }
+fn claim_missing() -> Error {
+    Error::Unavailable { message: "the claim is not in the table".to_owned() }
 }
--- a/crates/anvilhook-store/src/claims/options.rs
+++ b/crates/anvilhook-store/src/claims/options.rs
@@ -4,31 +4,31 @@
 
 use super::sweeps::SweepReport;
 
-/// The number of whole epochs that a settled claim is kept for.
+/// The number of whole epochs for which a settled claim is retained.
 pub(super) const EPOCHS_PER_RETENTION: u64 = 4;
 
-/// `ClaimOptions` bounds what claims cost.
+/// `ClaimOptions` bounds the cost of claims.
 #[derive(Clone, Copy, Debug)]
 pub struct ClaimOptions {
-    /// How long a settled claim is kept at least: a repeat that comes later may run again.
+    /// How long a settled claim is retained at least. A later repeat may run again.
     pub retention: Millis,
-    /// How often a write is sent whose answer was lost, and how often a claim follows a row that
-    /// others change.
+    /// The maximum number of times that a write is sent if its answers are lost, and that a claim is
+    /// tried if other instances change its row.
     pub max_tries: usize,
-    /// The largest body of an outcome that is kept, in bytes.
+    /// The largest body of an outcome that is stored, in bytes.
     pub max_body_bytes: usize,
-    /// The most rows that one sweep looks at, and so deletes. Together with the largest body it
-    /// bounds the answer that a sweep has to hold.
+    /// The maximum number of rows that one sweep reads, and so deletes. Together with the largest body
+    /// it bounds the size of the answer that a sweep has to hold in memory.
     pub sweep_rows: usize,
-    /// The time between two sweeps of all instances together, while a round is under way.
+    /// The time between two sweeps during a round, over all instances together.
     pub sweep_pause: Millis,
-    /// The time between two rounds of all instances together.
+    /// The time between two rounds, over all instances together.
     pub round_pause: Millis,
 }
 
 impl ClaimOptions {
-    /// Returns how long one of `instances` rests after a sweep, so that all of them together keep
-    /// to the pauses.
+    /// Returns how long one of `instances` instances pauses after a sweep, so that all of them together
+    /// observe the configured pauses.
     ///
     /// ```
     /// use anvilhook_core::units::Millis;
@@ -43,7 +43,7 @@
         Millis(pause.0 * instances.max(1) as u64)
     }
 
-    /// Returns the shortest time between two epochs.
+    /// Returns the minimum length of an epoch.
     pub(super) fn epoch_length(&self) -> Millis {
         Millis(self.retention.0.div_ceil(EPOCHS_PER_RETENTION))
     }
--- a/crates/anvilhook-store/src/claims/rows.rs
+++ b/crates/anvilhook-store/src/claims/rows.rs
@@ -10,25 +10,25 @@
 
 use super::keys::{BodyDigest, hex};
 
-/// `Claim` is a claim as it stands in the table.
+/// `Claim` is a claim as it is stored in the table.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Claim {
     /// The attempt that may run the request.
     pub attempt: AttemptId,
-    /// What was sent under the key.
+    /// The digest of what was sent under the key.
     pub body: BodyDigest,
     /// The instance that made the claim.
     pub instance: InstanceName,
-    /// When the claim was made, for people.
+    /// When the claim was made, for display only.
     pub claimed_at: WallTime,
     /// The epoch in which the row was last written.
     pub epoch: u64,
-    /// How far the request has come.
+    /// The state of the request.
     pub state: ClaimState,
 }
 
-/// `ClaimState` is how far a claimed request has come.
+/// `ClaimState` is the state of a claimed request.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "is")]
 pub enum ClaimState {
@@ -38,26 +38,26 @@
     Released,
     /// It has ended.
     Recorded {
-        /// How.
+        /// Its outcome.
         outcome: StoredOutcome,
     },
 }
 
-/// `StoredOutcome` is what a caller's repeat is answered with.
+/// `StoredOutcome` is the outcome with which a caller's repeat is answered.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct StoredOutcome {
     /// Whether the request ran.
     pub verdict: Verdict,
-    /// The HTTP status that the caller was sent.
+    /// The HTTP status that was sent to the caller.
     pub status: u16,
-    /// The type of the body, if it had one.
+    /// The content type of the body, if there was one.
     pub content_type: Option<String>,
-    /// The body that the caller was sent.
+    /// The body that was sent to the caller.
     pub body: StoredBody,
 }
 
-/// `StoredBody` is a kept body, or the word that it is not kept.
+/// `StoredBody` is a stored body, or the length of a body that was too large to store.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "form")]
 pub enum StoredBody {
@@ -71,7 +71,7 @@
         /// Its bytes, in hexadecimal digits.
         digits: String,
     },
-    /// A body too large to keep. The request ran, and its answer cannot be given again.
+    /// A body that is too large to store. The request ran, but its answer cannot be repeated.
     TooLarge {
         /// Its length, in bytes.
         len: usize,
@@ -79,7 +79,7 @@
 }
 
 impl StoredBody {
-    /// Returns the bytes, unless they were not kept.
+    /// Returns the bytes, or `None` if they were not stored.
     ///
     /// ```
     /// use anvilhook_store::claims::StoredBody;
@@ -121,7 +121,7 @@
 }
 
 impl StoredOutcome {
-    /// Leaves out a body of more than `max_bytes`.
+    /// Drops a body of more than `max_bytes`.
     pub(super) fn bounded(mut self, max_bytes: usize) -> Self {
         let len = self.body.len();
         if len > max_bytes {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Returns the bytes of hexadecimal digits, if they are such.
+/// Decodes hexadecimal digits, or returns `None` if the text is not valid hexadecimal.
 fn unhex(digits: &str) -> Option<Bytes> {
     let pairs = digits.as_bytes().chunks(2);
     let bytes = pairs.map(|pair| u8::from_str_radix(std::str::from_utf8(pair).ok()?, 16).ok());
--- a/crates/anvilhook-store/src/claims/sweeps.rs
+++ b/crates/anvilhook-store/src/claims/sweeps.rs
@@ -1,8 +1,8 @@
-//! Sweeps: the deletion of expired claims in bounded batches.
+//! Sweeps delete expired claims in bounded batches.
 //!
-//! All instances share one way through the claims: how far it has come is a row of the table, which
-//! every batch moves on. So any instance can sweep at any time, and what the fleet spends on it is
-//! what its instances' pauses add up to, not a round of the table for each of them.
+//! All instances share one cursor over the claims, a row of the table that every batch advances. So any
+//! instance can sweep at any time, and the cost for the fleet is determined by the instances' pauses,
+//! not by a full scan for each instance.
 
 use std::collections::HashSet;
 
@@ -22,7 +22,7 @@
 /// The row that every deletion of claims writes, so that no two deletions overlap.
 const SWEEP_ROW: &str = "claim-sweep";
 
-/// `Sweeper` is what one instance remembers between its sweeps.
+/// `Sweeper` is the state that one instance retains between its sweeps.
 #[derive(Debug, Default)]
 pub struct Sweeper {
     watch: EpochWatch,
@@ -32,41 +32,42 @@
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 struct SweepState {
-    /// The last row of the last batch; none at the start of a round.
+    /// The last row of the last batch, or `None` at the start of a round.
     cursor: Option<RowKey>,
 }
 
 /// `SweepGuard` is the sweep's row as it was read.
 struct SweepGuard {
-    /// That no claim has been deleted since the row was read.
+    /// The condition that no claim has been deleted since the row was read.
     condition: Condition,
     state: SweepState,
 }
 
-/// `SweepReport` is what one sweep did.
+/// `SweepReport` contains the results of one sweep.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct SweepReport {
-    /// The rows that it looked at.
+    /// The number of rows that it read.
     pub seen: usize,
-    /// The expired rows that it deleted.
+    /// The number of expired rows that it deleted.
     pub deleted: usize,
-    /// The rows that would have expired, but whose request may still be in flight: they have no
-    /// outcome, and their instance is not known to be gone for good.
+    /// The number of old rows that were retained because their request may still be in flight: they
+    /// have no outcome, and their instance is not known to have terminated for good.
     pub kept_in_flight: usize,
-    /// Whether it came to the end of the claims, so that the next sweep begins anew.
+    /// Whether it reached the end of the claims, so that the next sweep starts a new round.
     pub round_done: bool,
 }
 
 impl<T: Table, C: Clock> Claims<T, C> {
-    /// Looks at the next batch of claims and deletes the expired ones among them.
+    /// Reads the next batch of claims and deletes the expired ones among them.
     ///
-    /// A claim without an outcome is only deleted if `is_gone` says that its instance can never run
-    /// again: a paused instance may wake after any time and dispatch what it has claimed. `is_gone`
-    /// must only say so on the platform's word, not on an instance's silence.
+    /// A claim without an outcome is deleted only if `is_gone` returns that its instance can never run
+    /// again, because a paused instance may resume at any time and dispatch the request that it has
+    /// claimed. `is_gone` must rely only on the platform's report, not on an instance that does not
+    /// respond.
     ///
     /// # Errors
     ///
-    /// The table's error. If the batch was not deleted, the next sweep looks at it again.
+    /// The table's error. If the batch was not deleted, the next sweep reads it again.
     pub async fn sweep(
         &self,
         sweeper: &mut Sweeper,
@@ -75,7 +76,7 @@
         let length = self.options.epoch_length();
         sweeper.watch.advance(&self.epochs, &self.table, &self.clock, length).await?;
 
-        // The sweep's row is read before the claims, so that a deletion between the two is noticed.
+        // The sweep's row is read before the claims, so that a deletion in between is detected.
         let guard = self.sweep_guard().await?;
         let limit = self.options.sweep_rows;
         let cursor = guard.state.cursor.clone();
@@ -89,24 +90,25 @@
 
         let next = rows.last().filter(|_| !report.round_done).map(|row| row.key.clone());
         if expired.is_empty() && next == cursor {
-            // All claims fit into one batch and none has expired: there is nothing to write.
+            // All claims fit into one batch and none has expired, so there is nothing to write.
             return Ok(report);
         }
         match self.delete(guard.condition, SweepState { cursor: next }, &expired).await? {
             Commit::Done => report.deleted = expired.len(),
-            // Another instance swept meanwhile, or a row has changed; the next sweep sees it.
+            // Another instance has swept meanwhile, or a row has changed; the next sweep reads it.
             Commit::Conflict { .. } => (),
         }
         Ok(report)
     }
 
-    /// Sweeps, and takes the platform's list for its word on who is gone for good.
+    /// Sweeps, and reads from the instance list which instances have terminated for good.
     ///
-    /// Without the list nobody is known to be gone, and claims without an outcome are kept.
+    /// If the list cannot be read, no instance counts as terminated, and claims without an outcome are
+    /// retained.
     ///
     /// # Errors
     ///
-    /// Those of `sweep`.
+    /// The same as for `sweep`.
     pub async fn sweep_listed<L: InstanceList>(
         &self,
         sweeper: &mut Sweeper,
@@ -114,12 +116,12 @@
     ) -> Result<SweepReport> {
         let lines = list.list().await.unwrap_or_default();
         let gone = lines.into_iter().filter(|line| line.state == ListedState::Gone);
-        // Instances and upstreams share one space of names in the list.
+        // Instances and upstreams share one namespace in the list.
         let gone: HashSet<String> = gone.map(|line| line.name.to_string()).collect();
         self.sweep(sweeper, |name| gone.contains(name.as_str())).await
     }
 
-    /// Chooses the rows that may be deleted, and counts those that may still be in flight.
+    /// Selects the rows that may be deleted, and counts those whose request may still be in flight.
     fn choose_expired<'a>(
         &self,
         rows: &'a [Row],
@@ -128,7 +130,7 @@
     ) -> Vec<&'a Row> {
         let mut expired = Vec::new();
         for row in rows {
-            // A row that cannot be read is kept: it may stand for a request in flight.
+            // A row that cannot be decoded is retained, because its request may be in flight.
             let Ok(claim) = Claim::decode(row) else { continue };
             if !self.epochs.is_expired(claim.epoch) {
                 continue;
@@ -142,9 +144,9 @@
         expired
     }
 
-    /// Deletes one expired row whose key is free.
+    /// Deletes one expired row of a released claim.
     pub(super) async fn delete_expired(&self, row: &Row) -> Result<()> {
-        // The row is read again after the guard, because the guard only covers what is read later.
+        // The row is read again after the guard, because the guard covers only later reads.
         let guard = self.sweep_guard().await?;
         if self.table.read(&row.key).await?.as_ref() == Some(row) {
             self.delete(guard.condition, guard.state, &[row]).await?;
@@ -163,10 +165,10 @@
         Ok(SweepGuard { condition: Condition::AtVersion { key, version: row.version }, state })
     }
 
-    /// Deletes rows as they were read, if none was deleted since the guard was taken.
+    /// Deletes rows if they are unchanged and no claim was deleted since the guard was read.
     ///
-    /// Without the guard a deletion that lands late could meet a new claim whose row has come to
-    /// the same version, and a repeat of that claim's request would run twice.
+    /// Without the guard, a late deletion could delete a new claim whose row has reached the same
+    /// version, and a repeat of that claim's request would run a second time.
     async fn delete(&self, guard: Condition, state: SweepState, rows: &[&Row]) -> Result<Commit> {
         let value = serde_json::to_string(&state)
             .map_err(|err| Error::Unavailable { message: format!("cannot encode: {err}") })?;
--- a/crates/anvilhook-store/src/claims/writes.rs
+++ b/crates/anvilhook-store/src/claims/writes.rs
@@ -1,4 +1,4 @@
-//! Writes of claims, each bound to the present epoch and to the version of its row.
+//! Writes of claims, each conditioned on the current epoch and on the version of its row.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::units::{Clock, Millis};
@@ -9,10 +9,10 @@
 use super::keys::ClaimKey;
 use super::rows::Claim;
 
-/// `Expected` is what must stand under a key for a write to take effect.
+/// `Expected` is the row that a key must have for a write to take effect.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub(super) enum Expected {
-    /// Nothing.
+    /// No row.
     Absent,
     /// The row of this instance's own claim. No sweep deletes it before the claim is settled.
     Own {
@@ -47,39 +47,40 @@
         }
     }
 
-    fn is_met_by(self, standing: Option<&Row>) -> bool {
+    fn is_met_by(self, current: Option<&Row>) -> bool {
         match self {
-            Expected::Absent => standing.is_none(),
+            Expected::Absent => current.is_none(),
             Expected::Own { version } | Expected::Released { version, .. } => {
-                standing.is_some_and(|row| row.version == version)
+                current.is_some_and(|row| row.version == version)
             }
         }
     }
 }
 
-/// `Written` is what became of a write.
+/// `Written` is the outcome of a write.
 #[derive(Debug)]
 pub(super) enum Written {
     /// It took effect.
     Done,
-    /// It did not, or an earlier try did whose answer was lost: this is what stands. Nothing stands
-    /// also for a released row that has expired, because a sweep may delete it at any moment.
-    Standing(Option<Row>),
+    /// It had no effect, or an earlier try whose answer was lost took effect. This is the current row.
+    /// A released row that has expired is also returned as `None`, because a sweep may delete it at any
+    /// moment.
+    Conflict(Option<Row>),
 }
 
-/// `Failure` is a write that was given up.
+/// `Failure` is the failure of a write that is not retried any more.
 #[derive(Debug)]
 pub(super) struct Failure {
     pub(super) err: Error,
-    /// Whether one of its tries may have taken effect or may still do so.
+    /// Whether one of the tries may have taken effect or may still do so.
     pub(super) in_doubt: bool,
 }
 
 impl<T: Table, C: Clock> Claims<T, C> {
-    /// Writes a claim's row in the present epoch.
+    /// Writes a claim's row in the current epoch.
     ///
-    /// A try whose answer is lost is sent again: the write has no effect twice, because its first
-    /// effect changes the version that it requires.
+    /// A try whose answer is lost is sent again. The write cannot take effect twice, because its effect
+    /// changes the version that it requires.
     pub(super) async fn write(
         &self,
         key: &ClaimKey,
@@ -95,7 +96,7 @@
             }
             match self.try_write(key, expected, claim).await {
                 Ok(Some(written)) => return Ok(written),
-                // The epoch has moved and is known now.
+                // The epoch has changed, and the new one is known now.
                 Ok(None) => (),
                 Err(err) => {
                     let has_no_effect = err.verdict() == Verdict::NotRun;
@@ -110,14 +111,14 @@
         Err(Failure { err: last, in_doubt })
     }
 
-    /// Returns nothing if only the epoch stood against the write.
+    /// Tries a write once. Returns `None` if only the epoch prevented it.
     async fn try_write(
         &self,
         key: &ClaimKey,
         expected: Expected,
         claim: &Claim,
     ) -> anvilhook_platform::Result<Option<Written>> {
-        // Without the epoch nothing is written, so a lost answer here leaves nothing in doubt.
+        // Nothing is written before the epoch is known, so a lost answer here leaves nothing in doubt.
         let epoch = self.epochs.present(&self.table).await.map_err(|err| match err {
             Error::AnswerLost { message } => Error::Unavailable { message },
             err => err,
@@ -125,7 +126,7 @@
         if let Expected::Released { epoch: released_in, .. } = expected
             && Epochs::is_expired_in(epoch, released_in)
         {
-            return Ok(Some(Written::Standing(None)));
+            return Ok(Some(Written::Conflict(None)));
         }
 
         let value = Claim { epoch, ..claim.clone() }.encode()?;
@@ -145,6 +146,6 @@
         standing.retain(|row| row.key == *key.row_key());
         let row = standing.pop();
         let only_epoch = expected.is_met_by(row.as_ref());
-        Ok((!only_epoch).then_some(Written::Standing(row)))
+        Ok((!only_epoch).then_some(Written::Conflict(row)))
     }
 }
--- a/crates/anvilhook-store/src/configurations.rs
+++ b/crates/anvilhook-store/src/configurations.rs
@@ -1,4 +1,4 @@
-//! Reading the configuration: whole, or only what has changed.
+//! Reads the configuration, either completely or only the changes.
 
 use std::sync::Arc;
 
@@ -24,46 +24,47 @@
 /// `StoreOptions` bounds the store's work on the table.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// The instance that the store works for; it stands in the audit trail.
+    /// The instance that uses the store; it is recorded in the audit trail.
     pub instance: InstanceName,
-    /// The most rows that one scan asks for.
+    /// The maximum number of rows that one scan requests.
     pub page_rows: usize,
-    /// The most changes that are read one by one. An instance further behind reads all resources.
+    /// The maximum number of changes that are read individually. An instance that is further behind
+    /// reads all resources.
     pub max_deltas: u64,
-    /// How often a change is tried while others move the head. Of those who try at the same moment
-    /// one succeeds, so this many operators can change something at once.
+    /// How often a change is tried while other changes advance the head. Of concurrent attempts one
+    /// succeeds, so this many operators can make a change at the same time.
     pub attempts: u32,
-    /// How often a change is tried whose answers are lost. Each may take as long as a timeout.
+    /// How often a change is tried if its answers are lost. Each attempt may take as long as a timeout.
     pub lost_answers: u32,
 }
 
 impl StoreOptions {
-    /// Returns the customary bounds for an instance.
+    /// Returns the default bounds for an instance.
     pub fn new(instance: InstanceName) -> Self {
         Self { instance, page_rows: 500, max_deltas: 500, attempts: 32, lost_answers: 3 }
     }
 }
 
-/// `ConfigurationStore` reads and changes the configuration that the table holds.
+/// `ConfigurationStore` reads and changes the configuration in the table.
 #[derive(Clone, Debug)]
 pub struct ConfigurationStore<T> {
     pub(crate) table: T,
     pub(crate) options: Arc<StoreOptions>,
 }
 
-/// `CatchUp` is what was read to come to the head.
+/// `CatchUp` is the result of bringing a configuration up to the head.
 #[derive(Clone, Debug)]
 pub struct CatchUp {
     /// The configuration at the head, or at a later revision.
     pub configuration: Arc<Configuration>,
-    /// The changes that led there, in order. There are none if all resources were read instead.
+    /// The changes that led there, in order. Empty if all resources were read instead.
     pub entries: Vec<AuditEntry>,
-    /// The version of the head's row, or nothing if no change was ever accepted.
+    /// The version of the head's row, or `None` if no change was ever accepted.
     pub(crate) head_version: Option<u64>,
 }
 
 impl<T: Table> ConfigurationStore<T> {
-    /// Makes a store on a table.
+    /// Creates a store on a table.
     pub fn new(table: T, options: StoreOptions) -> Self {
         Self { table, options: Arc::new(options) }
     }
@@ -73,12 +74,12 @@
         &self.table
     }
 
-    /// Returns the instance that the store works for.
+    /// Returns the instance that uses the store.
     pub fn instance(&self) -> &InstanceName {
         &self.options.instance
     }
 
-    /// Reads the last accepted change, or nothing if there never was one.
+    /// Reads the last accepted change, or returns `None` if there is none.
     ///
     /// # Errors
     ///
@@ -122,7 +123,7 @@
     pub async fn load_all(&self) -> Result<Configuration> {
         for _ in 1..self.options.attempts {
             match self.try_load_all().await {
-                // The archive overtook the scan; what is there now is newer, so read it anew.
+                // Changes after the scan's revision were archived meanwhile, so scan again.
                 Err(Error::TooOld { .. }) => {}
                 loaded => return loaded,
             }
@@ -136,9 +137,9 @@
         let resources: Vec<Resource> = scanned.iter().map(rows::decode).collect::<Result<_>>()?;
         let mixed = Configuration::new(before.revision, resources);
 
-        // Changes that were accepted during the scan are in some of its pages and not in others: a
-        // service could point to a pool that an earlier page did not have yet. Applying them again
-        // gives the state after the last of them, whichever the scan has seen.
+        // Changes that were accepted during the scan are included in some of its pages and not in
+        // others: a service could refer to a pool that an earlier page did not contain yet. Applying
+        // all of them gives the state after the last one, whichever of them the scan included.
         let after = self.head().await?.map_or(before.revision, |head| head.revision);
         let (whole, _) = self.replay(mixed, after).await?;
         Ok(whole)
@@ -166,7 +167,7 @@
         Ok((cfg, entries))
     }
 
-    /// Brings a configuration to the head. While nothing changes this reads one row.
+    /// Brings a configuration up to the head. This reads only one row while nothing changes.
     ///
     /// # Errors
     ///
@@ -191,7 +192,7 @@
                 Ok((cfg, entries)) => {
                     return Ok(CatchUp { configuration: Arc::new(cfg), entries, head_version });
                 }
-                // The changes that are lacking have been archived meanwhile.
+                // The missing changes have been archived meanwhile.
                 Err(Error::TooOld { .. }) => {}
                 Err(err) => return Err(err),
             }
--- a/crates/anvilhook-store/src/errors.rs
+++ b/crates/anvilhook-store/src/errors.rs
@@ -1,4 +1,4 @@
-//! Failures of what is kept in the table, each of them telling the truth about a change.
+//! Errors of the store. Each of them indicates whether the change may have been accepted.
 
 use std::fmt;
 
@@ -11,30 +11,31 @@
 /// A result with the store's error.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why something could not be read or changed.
+/// `Error` is the reason why a read or a change failed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Error {
     /// Returned when the platform failed a read, or a write that is safe to repeat.
     Platform(anvilhook_platform::Error),
-    /// Returned when a stored row or object does not hold what it should.
+    /// Returned when a stored row or object has invalid content.
     BadRow {
         /// The row's or object's key.
         key: String,
-        /// What is wrong with it.
+        /// The problem.
         message: String,
     },
-    /// Returned when a change was not accepted because the platform could not be asked.
+    /// Returned when a change was not accepted because the platform could not be reached or too many
+    /// other changes were made at the same time.
     NotAccepted {
-        /// Why, for people.
+        /// The reason, for display only.
         message: String,
     },
     /// Returned when a change was not accepted because it breaks a rule.
     Invalid(anvilhook_core::Error),
-    /// Returned when a change was not accepted because its resource is not what it expected.
+    /// Returned when a change was not accepted because its resource is not in the expected state.
     Conflict {
         /// The resource's key.
         key: ResourceKey,
-        /// The resource as it stands, if there is one.
+        /// The current resource, if there is one.
         standing: Option<Box<Resource>>,
     },
     /// Returned when a change was not accepted because its id belongs to a different change.
@@ -46,31 +47,31 @@
     },
     /// Returned when it is not known whether a change was accepted.
     Unknown {
-        /// The id to ask again by.
+        /// The id by which the outcome can be looked up.
         id: ChangeId,
-        /// The revision on which the change was conditioned. Once the head is past it and no change
-        /// of this id is recorded, the change was not accepted and never will be.
+        /// The revision on which the change was conditioned. If the head has advanced beyond it and no
+        /// change with this id is recorded, the change was not accepted and never will be.
         base: Revision,
     },
-    /// Returned when the table's head is behind what is already in force. Such a table is not
-    /// followed: an accepted configuration never reverts.
+    /// Returned when the table's head is behind the revision that is already applied. Such a table is
+    /// not followed, because an accepted configuration never reverts.
     Reverted {
-        /// The revision in force.
+        /// The applied revision.
         held: Revision,
         /// The table's revision.
         head: Revision,
     },
-    /// Returned when changes are asked for that are no longer rows of the table.
+    /// Returned when changes are requested that are no longer in the table.
     TooOld {
-        /// The revision after which changes were asked for.
+        /// The revision after which changes were requested.
         after: Revision,
-        /// The oldest change that is there.
+        /// The oldest change in the table.
         oldest: Revision,
     },
 }
 
 impl Error {
-    /// Returns an error for a row that does not hold what it should.
+    /// Creates an error for a row or object with invalid content.
     pub fn bad_row(key: impl fmt::Display, message: impl fmt::Display) -> Self {
         Error::BadRow { key: key.to_string(), message: message.to_string() }
     }
@@ -105,13 +106,13 @@
             }
             Error::Unknown { id, base } => write!(
                 f,
-                "it is not known whether change {id} on {base} was accepted; ask again by its id"
+                "it is not known whether change {id} on {base} was accepted; look it up by its id"
             ),
             Error::Reverted { held, head } => {
-                write!(f, "the table is at {head}, behind {held} in force; it is not followed")
+                write!(f, "the table is at {head}, behind the applied {held}; it is not followed")
             }
             Error::TooOld { after, oldest } => {
-                write!(f, "changes after {after} are archived; the oldest kept one is {oldest}")
+                write!(f, "changes after {after} are archived; the oldest in the table is {oldest}")
             }
         }
     }
--- a/crates/anvilhook-store/src/followers.rs
+++ b/crates/anvilhook-store/src/followers.rs
@@ -1,4 +1,4 @@
-//! Following the configuration: what is in force on this instance never goes back.
+//! Follows the configuration. The revision that is applied on this instance never goes back.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -13,24 +13,24 @@
 use crate::errors::{Error, Result};
 use crate::histories::History;
 
-/// The number of changes that an instance holds for those who watch.
+/// The number of changes that an instance retains in memory for watchers.
 const HISTORY_ENTRIES: usize = 1_024;
 
-/// `Adoption` is what became of a configuration that was found or offered.
+/// `Adoption` is the outcome for a configuration that was read or offered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Adoption {
-    /// It is newer than what was in force, and in force now.
+    /// It is newer than the applied one and has replaced it. This is its revision.
     Adopted(Revision),
-    /// It is not newer. What is in force stays.
+    /// It is not newer. This is the revision that stays applied.
     Kept(Revision),
 }
 
-/// `ConfigurationFollower` keeps the newest configuration that this instance has heard of. Clones
-/// share it.
+/// `ConfigurationFollower` stores the newest configuration that this instance has received, which is
+/// the applied one. Clones share it.
 ///
-/// It hears of configurations from the table, from peers and from the changes that it makes. They
-/// may come in any order; a lower revision than the one in force is never adopted, so a lagging
-/// peer or a poll that was answered late cannot undo a change.
+/// It receives configurations from the table, from peers and from the changes that it makes, in any
+/// order. A lower revision than the applied one is never adopted, so a lagging peer or a poll that was
+/// answered late cannot undo a change.
 #[derive(Debug)]
 pub struct ConfigurationFollower<T> {
     shared: Arc<Shared<T>>,
@@ -41,7 +41,7 @@
     store: ConfigurationStore<T>,
     current: ArcSwap<Configuration>,
     revisions: watch::Sender<Revision>,
-    /// Held while adopting, so that comparing and replacing are one step. Readers do not take it.
+    /// Locked while adopting, so that comparing and replacing are atomic. Readers do not lock it.
     history: Mutex<History>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl<T: Table> ConfigurationFollower<T> {
-    /// Starts with the empty configuration of revision zero.
+    /// Creates a follower with the empty configuration of revision zero.
     pub fn new(store: ConfigurationStore<T>) -> Self {
         Self {
             shared: Arc::new(Shared {
@@ -69,63 +69,63 @@
         &self.shared.store
     }
 
-    /// Returns the configuration in force.
+    /// Returns the applied configuration.
     pub fn current(&self) -> Arc<Configuration> {
         self.shared.current.load_full()
     }
 
-    /// Returns the configuration in force for a short look, without counting a reference. This is
-    /// for the path of a request.
+    /// Returns the applied configuration for short use, without incrementing its reference count. This
+    /// is for the request path.
     pub fn load(&self) -> Guard<Arc<Configuration>> {
         self.shared.current.load()
     }
 
-    /// Returns the revision in force.
+    /// Returns the applied revision.
     pub fn revision(&self) -> Revision {
         self.load().revision()
     }
 
-    /// Watches the revision in force.
+    /// Returns a receiver that watches the applied revision.
     pub fn subscribe(&self) -> watch::Receiver<Revision> {
         self.shared.revisions.subscribe()
     }
 
-    /// Reads what the table has that is not in force here yet, and adopts it. While nothing changes
-    /// this reads one row.
+    /// Reads and adopts changes from the table that are not applied here yet. This reads only one row
+    /// while nothing changes.
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the table cannot be read and `Error::Reverted` if it is behind. What is
-    /// in force stays either way.
+    /// `Error::Platform` if the table cannot be read and `Error::Reverted` if it is behind. The applied
+    /// configuration stays in both cases.
     pub async fn poll_once(&self) -> Result<Adoption> {
         let caught_up = self.shared.store.catch_up(&self.current()).await?;
         Ok(self.adopt(caught_up.configuration, &caught_up.entries))
     }
 
-    /// Takes a configuration that a peer holds. An instance that starts while the table is down
-    /// takes the highest revision among its peers in this way.
+    /// Adopts a peer's configuration if it is newer. In this way an instance that starts while the
+    /// table is down gets the highest revision among its peers.
     pub fn offer(&self, cfg: Configuration) -> Adoption {
         self.adopt(Arc::new(cfg), &[])
     }
 
-    /// Makes a change, and has it in force on this instance when it returns.
+    /// Makes a change, which is applied on this instance when this returns.
     ///
     /// # Errors
     ///
-    /// As `ConfigurationStore::change`.
+    /// The same as for `ConfigurationStore::change`.
     pub async fn change(&self, req: &ChangeRequest) -> Result<Accepted> {
         let accepted = self.shared.store.change(&self.current(), req).await?;
         self.adopt(Arc::clone(&accepted.configuration), &accepted.entries);
         Ok(accepted)
     }
 
-    /// Returns up to `limit` changes after a revision, from memory if they are held there and from
-    /// the table if not.
+    /// Returns up to `limit` changes after a revision, from memory if they are retained there and
+    /// otherwise from the table.
     ///
     /// # Errors
     ///
-    /// `Error::TooOld` if some of them are only in the archive, `Error::Platform` if the table has
-    /// to be read and cannot be.
+    /// `Error::TooOld` if some of them are only in the archive, `Error::Platform` if the table is
+    /// needed and cannot be read.
     pub async fn changes_since(&self, after: Revision, limit: usize) -> Result<Vec<AuditEntry>> {
         let held = self.lock_history().since(after, limit);
         match held {
@@ -136,10 +136,10 @@
 
     fn adopt(&self, cfg: Arc<Configuration>, entries: &[AuditEntry]) -> Adoption {
         let mut history = self.lock_history();
-        let in_force = self.revision();
+        let applied = self.revision();
         let revision = cfg.revision();
-        if revision <= in_force {
-            return Adoption::Kept(in_force);
+        if revision <= applied {
+            return Adoption::Kept(applied);
         }
         history.record(entries, revision);
         self.shared.current.store(cfg);
@@ -151,18 +151,18 @@
             }
             is_newer
         });
-        log::info!("configuration {revision} is in force");
+        log::info!("configuration {revision} is applied");
         Adoption::Adopted(revision)
     }
 
     fn lock_history(&self) -> std::sync::MutexGuard<'_, History> {
-        // A panic while recording leaves a history that is at worst too short.
+        // A panic during `record` can only leave a history that is too short, so poisoning is ignored.
         self.shared.history.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl Error {
-    /// Returns whether following the table may be tried again soon.
+    /// Returns whether the error is an outage of the platform, so that a retry may soon succeed.
     pub fn is_outage(&self) -> bool {
         matches!(self, Error::Platform(_) | Error::NotAccepted { .. })
     }
--- a/crates/anvilhook-store/src/histories.rs
+++ b/crates/anvilhook-store/src/histories.rs
@@ -1,21 +1,21 @@
-//! The latest changes in memory, for those who watch.
+//! Retains the latest changes in memory for watchers.
 
 use std::collections::VecDeque;
 
 use anvilhook_core::resources::AuditEntry;
 use anvilhook_core::units::Revision;
 
-/// `History` holds the latest changes without a gap, up to a bound.
+/// `History` contains the latest changes without a gap, up to a maximum number.
 #[derive(Clone, Debug)]
 pub struct History {
-    /// The changes after this revision are held.
+    /// The revision after which all changes are retained.
     floor: Revision,
     entries: VecDeque<AuditEntry>,
     max_entries: usize,
 }
 
 impl History {
-    /// Makes a history that holds no change yet.
+    /// Creates an empty history.
     pub fn new(max_entries: usize) -> Self {
         Self { floor: Revision::default(), entries: VecDeque::new(), max_entries }
     }
@@ -25,10 +25,10 @@
         Revision(self.floor.0 + self.entries.len() as u64)
     }
 
-    /// Takes note that `now` is in force, and of the changes that led there as far as known.
+    /// Records that revision `now` is applied, and the known changes that led to it.
     ///
-    /// If some are lacking, everything before `now` is forgotten: a watcher that was given the
-    /// changes around a gap would keep a resource that was deleted in it.
+    /// If some changes are missing, everything before `now` is dropped: a watcher that received the
+    /// changes around a gap would keep a resource that was deleted in the gap.
     pub fn record(&mut self, entries: &[AuditEntry], now: Revision) {
         for entry in entries {
             if entry.revision.0 == self.last().0 + 1 {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns up to `limit` changes after a revision, or nothing if some of them are not held.
+    /// Returns up to `limit` changes after a revision, or `None` if some of them are not retained.
     pub fn since(&self, after: Revision, limit: usize) -> Option<Vec<AuditEntry>> {
         let skip = after.0.checked_sub(self.floor.0)? as usize;
         Some(self.entries.iter().skip(skip).take(limit).cloned().collect())
--- a/crates/anvilhook-store/src/instances.rs
+++ b/crates/anvilhook-store/src/instances.rs
@@ -1,4 +1,4 @@
-//! The instances of the system, as they announce themselves.
+//! The records by which the instances of the system announce themselves.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
@@ -12,52 +12,52 @@
 use crate::errors::Result;
 use crate::rows;
 
-/// The most rows that one scan asks for.
+/// The maximum number of rows that one scan requests.
 const PAGE_ROWS: usize = 500;
 
-/// `InstanceRecord` is what an instance says of itself. An instance that ends without a stop leaves
-/// its record behind; the platform's list says whether it is gone.
+/// `InstanceRecord` is the record by which an instance announces itself. An instance that terminates
+/// without a planned stop leaves its record behind; the instance list shows whether it has terminated.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct InstanceRecord {
-    /// Its name, which no other process has had.
+    /// Its name, which no other process has ever had.
     pub name: InstanceName,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub peer_address: SocketAddr,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// The revision of the configuration that is in force there.
+    /// The configuration revision that is applied there.
     pub revision: Revision,
-    /// Since when that revision is in force.
+    /// Since when that revision has been applied.
     pub since: WallTime,
 }
 
-/// `InstanceDirectory` keeps the records of instances. Only an instance itself writes its record.
+/// `InstanceDirectory` stores the records of instances. Only an instance itself writes its record.
 #[derive(Clone, Debug)]
 pub struct InstanceDirectory<T> {
     table: T,
 }
 
 impl<T: Table> InstanceDirectory<T> {
-    /// Makes a directory on a table.
+    /// Creates a directory on a table.
     pub fn new(table: T) -> Self {
         Self { table }
     }
 
-    /// Writes an instance's record, at its start and when its revision has changed.
+    /// Writes an instance's record, when it starts and when its revision has changed.
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the table cannot be asked. Announcing again is safe.
+    /// `Error::Platform` if the write fails. Announcing again is safe.
     pub async fn announce(&self, record: &InstanceRecord) -> Result<()> {
         let write = rows::put(rows::instance_key(&record.name), record)?;
         self.commit(write).await
     }
 
-    /// Removes the record of an instance that stops, or that the platform says is gone.
+    /// Removes the record of an instance that stops, or that has terminated according to the platform.
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the table cannot be asked. Removing again is safe.
+    /// `Error::Platform` if the write fails. Removing again is safe.
     pub async fn remove(&self, name: &InstanceName) -> Result<()> {
         self.commit(Write::Delete { key: rows::instance_key(name) }).await
     }
@@ -79,20 +79,20 @@
     }
 }
 
-/// The most reports of revisions that the whole fleet should write in a second, on average. The
-/// table takes several hundred rows a second for everything, renewals of leases among them.
+/// The maximum number of revision reports that the whole fleet should write per second, on average. The
+/// table accepts several hundred rows per second in total, including renewals of leases.
 pub const FLEET_REPORTS_PER_S: u64 = 50;
 
-/// The parts of a span in which an instance's place is counted.
+/// The number of parts into which a span is divided, in which an instance's offset is measured.
 const SPAN_PARTS: u64 = 1_000_000;
 
-/// `ReportSchedule` decides when an instance writes its revision in force.
+/// `ReportSchedule` determines when an instance writes its applied revision.
 ///
-/// If all wrote it as soon as they saw a change, each change would cost a row for each instance in
-/// the same second. At hundreds of instances one would see renewals of leases refused or late right
-/// after each change. So the reports of one change are spread over a span that grows with the number
-/// of instances, `report_span`, each at a place that its name decides. An instance writes at most
-/// once in the span, and at most once in the least interval.
+/// If all instances wrote it as soon as they saw a change, each change would cost one row per instance
+/// in the same second. With hundreds of instances, renewals of leases would be refused or late right
+/// after each change. So the reports of one change are spread over a span that grows with the number of
+/// instances, `report_span`, each at an offset that is derived from the instance's name. An instance
+/// writes at most once per span, and at most once per minimum interval.
 ///
 /// ```
 /// use anvilhook_core::units::{Millis, Revision};
@@ -109,73 +109,75 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReportSchedule {
     interval: Millis,
-    /// The instance's place in the span, in millionths.
-    place: u64,
-    /// The revision that was reported last.
+    /// The instance's offset in the span, in millionths of the span.
+    offset_parts: u64,
+    /// The last reported revision.
     reported: Option<Revision>,
     not_before: Millis,
-    /// The revision that is in force, and since when this has been seen.
-    in_force: Option<(Millis, Revision)>,
-    /// Since when the one in force differs from the reported one. It is not put off by the next
-    /// change: an instance amid many changes would otherwise never report.
+    /// The applied revision, and since when it has been observed.
+    applied: Option<(Millis, Revision)>,
+    /// Since when the applied revision differs from the reported one. The next change does not reset
+    /// it, because an instance would otherwise never report during frequent changes.
     unreported_since: Option<Millis>,
 }
 
 impl ReportSchedule {
-    /// Makes an instance's schedule that lets at least `interval` pass between two writes.
+    /// Creates an instance's schedule with a minimum `interval` between two writes.
     pub fn new(name: &InstanceName, interval: Millis) -> Self {
-        // The hasher's keys are fixed, so that places stay spread whoever computes them.
+        // The hasher's keys are fixed, so a name has the same offset in every process, and the offsets
+        // of all instances stay spread.
         let mut hasher = DefaultHasher::new();
         name.hash(&mut hasher);
         Self {
             interval,
-            place: hasher.finish() % SPAN_PARTS,
+            offset_parts: hasher.finish() % SPAN_PARTS,
             reported: None,
             not_before: Millis::ZERO,
-            in_force: None,
+            applied: None,
             unreported_since: None,
         }
     }
 
-    /// Returns whether the revision in force should be written now, among so many announced
-    /// instances. The first is due at once: an instance is asked for nothing until it is announced.
-    pub fn is_due(&mut self, now: Millis, in_force: Revision, instances: usize) -> bool {
-        if self.in_force.is_none_or(|(_, revision)| revision != in_force) {
-            self.in_force = Some((now, in_force));
+    /// Returns whether the applied revision should be written now; `instances` is the number of
+    /// announced instances. The first report is due immediately, because nothing is requested of an
+    /// instance until it is announced.
+    pub fn is_due(&mut self, now: Millis, applied: Revision, instances: usize) -> bool {
+        if self.applied.is_none_or(|(_, revision)| revision != applied) {
+            self.applied = Some((now, applied));
         }
         if self.reported.is_none() {
             return true;
         }
-        if self.reported == Some(in_force) {
+        if self.reported == Some(applied) {
             self.unreported_since = None;
             return false;
         }
         let since = *self.unreported_since.get_or_insert(now);
-        let offset = Millis(report_span(instances).0 * self.place / SPAN_PARTS);
+        let offset = Millis(report_span(instances).0 * self.offset_parts / SPAN_PARTS);
         now >= self.not_before.max(since + offset)
     }
 
-    /// Returns for how long the revision in force has been so, for the record's `since`: it tells
-    /// when the revision came into force, not when that was reported.
+    /// Returns for how long the current revision has been applied. It is used for the record's `since`,
+    /// which is the time at which the revision was applied, not the time of the report.
     pub fn in_force_for(&self, now: Millis) -> Millis {
-        self.in_force.map_or(Millis::ZERO, |(at, _)| now - at)
+        self.applied.map_or(Millis::ZERO, |(at, _)| now - at)
     }
 
-    /// Takes note of a write that succeeded.
+    /// Records a write that succeeded.
     pub fn reported(&mut self, now: Millis, revision: Revision, instances: usize) {
         self.reported = Some(revision);
         self.unreported_since = None;
         self.not_before = now + self.interval.max(report_span(instances));
     }
 
-    /// Takes note of a write that failed. The next follows a whole span later, so that the reports
-    /// stay spread while the table is down and when it comes back.
+    /// Records a write that failed. The next one follows a whole span later, so that the reports stay
+    /// spread while the table is down and when it comes back.
     pub fn failed(&mut self, now: Millis, instances: usize) {
         self.not_before = now + report_span(instances);
     }
 }
 
-/// Returns over how long the reports of one change are spread.
+/// Returns the span over which the reports of one change are spread.
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
@@ -188,8 +190,8 @@
     Millis(instances as u64 * 1_000 / FLEET_REPORTS_PER_S)
 }
 
-/// Returns the time between two polls of the head, so that the fleet as a whole reads it at most
-/// `fleet_reads_per_s` times a second, within bounds.
+/// Returns the time between two polls of the head, such that the whole fleet reads it at most
+/// `fleet_reads_per_s` times per second. The result is clamped to `bounds`.
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
--- a/crates/anvilhook-store/src/lib.rs
+++ b/crates/anvilhook-store/src/lib.rs
@@ -1,8 +1,9 @@
-//! What the system keeps in the platform's table: the configuration, its audit trail and claims.
+//! Stores data in the platform's table: the configuration, its audit trail, claims, statuses and the
+//! records of instances.
 //!
-//! Each change of the configuration is one transaction with its revision and its audit entry. The
-//! changes are kept as rows of their own, so that an instance that follows the configuration reads
-//! one small row while nothing changes, and only the changes that it lacks when something does.
+//! Each change of the configuration is one transaction, together with its revision and its audit entry.
+//! Every change has its own row, so an instance that follows the configuration reads one small row
+//! while nothing changes, and otherwise only the changes that it is missing.
 #![forbid(unsafe_code)]
 
 pub mod archives;
--- a/crates/anvilhook-store/src/memberships.rs
+++ b/crates/anvilhook-store/src/memberships.rs
@@ -1,12 +1,13 @@
-//! Which instances there are, read by one and known to all.
+//! Distributes the set of announced instances, which one instance scans for all others.
 //!
-//! If every instance read every other's record, the rows read would grow with the square of the
-//! fleet. So one instance scans the records and writes the members into one row; the others read a
-//! small head, and the members when the head says that they have changed. Whoever finds the head
-//! unchanged for a period scans next, so nobody's failure stops the scans, and a collision costs one.
+//! If every instance read every other's record, the number of rows read would grow with the square of
+//! the fleet size. So one instance scans the records and writes the members into one row. The others
+//! read a small head, and read the members only if the head shows that they have changed. An instance
+//! that finds the head unchanged for a period scans next, so no failure of a single instance stops the
+//! scans, and a collision costs only one more scan.
 //!
-//! What comes of it is a hint about whom to talk to and how many share a limit. Whoever must know
-//! every announced instance, such as the holder that drains an engine, reads the records.
+//! The members are a hint, used to choose peers and to count the instances that share a limit. Code
+//! that must know every announced instance, such as the holder that drains an engine, reads the records.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,17 +21,17 @@
 use crate::instances::{InstanceDirectory, InstanceRecord, poll_interval};
 use crate::rows;
 
-/// By how much sooner than others an instance scans that is missing among the members.
+/// The factor by which an instance that is missing among the members scans sooner than others.
 const JOIN_SPEEDUP: u64 = 5;
 
-/// `Member` is an announced instance, as far as others need to know it.
+/// `Member` contains the data of an announced instance that other instances need.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Member {
     /// Its name.
     pub name: InstanceName,
     /// Its availability zone.
     pub zone: ZoneName,
-    /// Where its peers reach it.
+    /// The address at which its peers reach it.
     pub peer_address: SocketAddr,
 }
 
@@ -46,11 +47,11 @@
 pub struct MembershipOptions {
     /// The time between two scans of the records.
     pub scan_every: Millis,
-    /// How often the whole fleet reads the head in a second.
+    /// How often the whole fleet reads the head per second.
     pub fleet_reads_per_s: u64,
-    /// The bounds of one instance's pause between two readings of the head.
+    /// The minimum pause of one instance between two reads of the head.
     pub min_pause: Millis,
-    /// The upper bound.
+    /// The maximum pause of one instance between two reads of the head.
     pub max_pause: Millis,
 }
 
@@ -65,33 +66,33 @@
     }
 }
 
-/// `PollReport` says what a poll has brought.
+/// `PollReport` contains the results of a poll.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct PollReport {
     /// Whether the members have changed.
     pub changed: bool,
-    /// Whether this instance scanned the records. It should also remove those of instances that the
-    /// platform says are gone.
+    /// Whether this instance scanned the records. If so, it should also remove the records of instances
+    /// that have terminated according to the platform.
     pub scanned: bool,
 }
 
-/// The row that all read.
+/// `MembershipHead` is the small row that all instances poll.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize)]
 struct MembershipHead {
     /// Counts the changes of the members.
     generation: u64,
-    /// Counts the scans, so that each is a change that the others see.
+    /// Counts the scans, so that each scan changes the row.
     scans: u64,
 }
 
-/// The row that is read when the generation has changed.
+/// `MemberList` is the row that is read when the generation has changed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 struct MemberList {
     generation: u64,
     members: Vec<Member>,
 }
 
-/// The head as last seen, and since when it has stood.
+/// `SeenHead` is the head as last read, and since when it has been unchanged.
 #[derive(Clone, Copy, Debug)]
 struct SeenHead {
     version: u64,
@@ -113,20 +114,21 @@
 }
 
 impl<T: Table, C: Clock> MembershipFollower<T, C> {
-    /// Knows no members yet.
+    /// Creates a follower that knows no members yet.
     pub fn new(table: T, clock: C, me: InstanceName, options: MembershipOptions) -> Self {
         let directory = InstanceDirectory::new(table.clone());
         let members = Arc::from([]);
         Self { table, directory, clock, me, options, seen: None, generation: 0, members }
     }
 
-    /// Returns the members as last known, this instance among them if it was announced in time.
+    /// Returns the last known members. They include this instance if it was announced before the scan.
     pub fn members(&self) -> &Arc<[Member]> {
         &self.members
     }
 
     /// Returns how long to wait until the next poll. It grows with the fleet, so that all instances
-    /// together read the head at a constant rate. One that the others don't know yet hurries.
+    /// together read the head at a constant rate. An instance that is not among the members yet polls
+    /// at the minimum pause.
     pub fn pause(&self) -> Millis {
         if self.is_missing() {
             return self.options.min_pause;
@@ -139,17 +141,17 @@
         self.members.iter().all(|member| member.name != self.me)
     }
 
-    /// Reads what is new, and scans the records if it is this instance's turn. `is_announced` says
-    /// whether its own record stands.
+    /// Reads the head and any changed members, and scans the records if it is this instance's turn.
+    /// `is_announced` is whether its own record has been written.
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the table cannot be asked; the members stay as they were.
+    /// `Error::Platform` if a call to the table fails; the members stay unchanged.
     pub async fn poll(&mut self, is_announced: bool) -> Result<PollReport> {
         let mut report = PollReport::default();
         let row = self.table.read(&head_key()).await?;
         match &row {
-            Some(row) => self.see(row.version, rows::decode(row)?),
+            Some(row) => self.record_head(row.version, rows::decode(row)?),
             None => self.seen = None,
         }
         if self.seen.is_some_and(|seen| seen.head.generation != self.generation) {
@@ -162,7 +164,7 @@
         Ok(report)
     }
 
-    fn see(&mut self, version: u64, head: MembershipHead) {
+    fn record_head(&mut self, version: u64, head: MembershipHead) {
         let since = self.clock.now();
         if self.seen.is_none_or(|seen| seen.version != version) {
             self.seen = Some(SeenHead { version, head, since });
@@ -184,12 +186,12 @@
         differs
     }
 
-    /// Returns whether nobody has scanned for a period, so that this instance should.
+    /// Returns whether no instance has scanned for a period, so that this one should.
     fn should_scan(&self, is_announced: bool) -> bool {
         let Some(seen) = self.seen else { return true };
         let period = self.options.scan_every;
         let wait = if self.is_missing() && is_announced {
-            // The others should learn of a new instance soon; and one scan finds all new ones.
+            // The others should learn of a new instance soon, and one scan finds all new ones.
             Millis(period.0 / JOIN_SPEEDUP)
         } else {
             period
@@ -197,8 +199,8 @@
         self.clock.now() >= seen.since + wait
     }
 
-    /// Reads all records and writes the members. Whoever loses the race has the other's members at
-    /// the next poll.
+    /// Reads all records and writes the members. If another instance writes first, its members are read
+    /// in the next poll.
     async fn scan(&mut self) -> Result<bool> {
         let records = self.directory.list().await?;
         let members: Vec<Member> = records.into_iter().map(Member::from).collect();
@@ -220,10 +222,10 @@
             writes.push(rows::put(members_key(), &list)?);
         }
         let txn = Transaction { conditions: vec![condition], writes };
-        // After a lost answer the next poll reads whatever stands.
+        // If the answer is lost, the next poll reads the current rows.
         if let Commit::Done = self.table.commit(&txn).await? {
             self.generation = generation;
-            self.see(version.unwrap_or(0) + 1, head);
+            self.record_head(version.unwrap_or(0) + 1, head);
         }
         Ok(self.replace(members))
     }
--- a/crates/anvilhook-store/src/rows.rs
+++ b/crates/anvilhook-store/src/rows.rs
@@ -1,18 +1,18 @@
-//! The keys and values of the rows.
+//! The keys and values of the store's rows.
 //!
 //! | row | value |
 //! |---|---|
 //! | `config/head` | the last accepted change: revision and change id |
-//! | `resource/<Kind>/<name>` | a resource as declared |
+//! | `resource/<Kind>/<name>` | a declared resource |
 //! | `change/<revision>` | the audit entry of the change that made the revision |
 //! | `change-id/<id>` | the revision that a change made |
-//! | `audit/archive` | how far the audit trail is archived and pruned |
+//! | `audit/archive` | the revisions up to which the audit trail is archived and pruned |
 //! | `audit/segment/<last revision>` | one archived segment |
 //! | `status/<Kind>/<name>/<type>` | one condition of a resource |
-//! | `instances/<name>` | an instance that runs |
+//! | `instances/<name>` | the record of an announced instance |
 //! | `membership/head`, `membership/members` | the instances as last scanned, see `memberships` |
 //!
-//! Revisions in keys are padded, so that the order of keys is the order of changes.
+//! Revisions in keys are padded with zeros, so that the keys sort in the order of the changes.
 
 use anvilhook_core::attempts::ChangeId;
 use anvilhook_core::names::InstanceName;
@@ -24,15 +24,15 @@
 
 use crate::errors::{Error, Result};
 
-/// The prefix of resources.
+/// The prefix of the rows of resources.
 pub const RESOURCE_PREFIX: &str = "resource/";
-/// The prefix of changes.
+/// The prefix of the rows of changes.
 pub const CHANGE_PREFIX: &str = "change/";
-/// The prefix of archived segments.
+/// The prefix of the rows of archived segments.
 pub const SEGMENT_PREFIX: &str = "audit/segment/";
-/// The prefix of conditions.
+/// The prefix of the rows of conditions.
 pub const STATUS_PREFIX: &str = "status/";
-/// The prefix of instances.
+/// The prefix of the rows of instances.
 pub const INSTANCE_PREFIX: &str = "instances/";
 
 /// Returns the key of the head.
@@ -55,7 +55,7 @@
     RowKey::new(format!("{CHANGE_PREFIX}{:020}", revision.0))
 }
 
-/// Returns the key under which a change is found by its id.
+/// Returns the key of the row that maps a change's id to its revision.
 pub fn change_id_key(id: ChangeId) -> RowKey {
     RowKey::new(format!("change-id/{id}"))
 }
@@ -80,12 +80,12 @@
     RowKey::new(format!("{INSTANCE_PREFIX}{name}"))
 }
 
-/// Reads a row's value.
+/// Decodes a row's value.
 pub(crate) fn decode<T: DeserializeOwned>(row: &Row) -> Result<T> {
     serde_json::from_str(&row.value).map_err(|err| Error::undecodable(&row.key, err))
 }
 
-/// Makes the write that stores a value.
+/// Creates the write that stores a value.
 pub(crate) fn put<T: Serialize>(key: RowKey, value: &T) -> Result<Write> {
     let value = serde_json::to_string(value).map_err(|err| Error::undecodable(&key, err))?;
     Ok(Write::Put { key, value })
--- a/crates/anvilhook-store/src/statuses.rs
+++ b/crates/anvilhook-store/src/statuses.rs
@@ -1,8 +1,8 @@
-//! What is known of the actual state of resources, written by whoever observes it.
+//! Stores the observed state of resources, written by the instances that observe it.
 //!
-//! Status is not part of the configuration: it makes no revision and no audit entry. Each condition
-//! is a row of its own, so that two instances that observe different things do not overwrite each
-//! other.
+//! Status is not part of the configuration: it creates no revision and no audit entry. Each condition
+//! has its own row, so that two instances that observe different conditions do not overwrite each
+//! other's.
 
 use anvilhook_core::names::InstanceName;
 use anvilhook_core::resources::{Condition, Kind, ResourceKey};
@@ -12,48 +12,48 @@
 use crate::errors::Result;
 use crate::rows;
 
-/// The most rows that one scan asks for.
+/// The maximum number of rows that one scan requests.
 const PAGE_ROWS: usize = 500;
 
 /// `StatusRecord` is one observed condition.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct StatusRecord {
-    /// The resource that it is about.
+    /// The observed resource.
     pub key: ResourceKey,
-    /// Who observed it.
+    /// The instance that observed it.
     pub observer: InstanceName,
-    /// What was observed.
+    /// The observed condition.
     pub condition: Condition,
 }
 
-/// `StatusStore` keeps the conditions of resources.
+/// `StatusStore` stores the conditions of resources.
 #[derive(Clone, Debug)]
 pub struct StatusStore<T> {
     table: T,
 }
 
 impl<T: Table> StatusStore<T> {
-    /// Makes a store on a table.
+    /// Creates a store on a table.
     pub fn new(table: T) -> Self {
         Self { table }
     }
 
-    /// Writes a condition if it differs from what stands. A condition whose state is the same keeps
-    /// the time since when it has been so.
+    /// Writes a condition if it differs from the stored one. If its state is unchanged, it keeps the
+    /// stored time since which it has applied.
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the table cannot be asked. Writing again is safe.
+    /// `Error::Platform` if a call to the table fails. Writing again is safe.
     pub async fn report(&self, record: &StatusRecord) -> Result<()> {
         let key = condition_key(record);
         let row = self.table.read(&key).await?;
-        let standing: Option<StatusRecord> = row.as_ref().map(rows::decode).transpose()?;
+        let stored: Option<StatusRecord> = row.as_ref().map(rows::decode).transpose()?;
         let mut next = record.clone();
-        if let Some(standing) = standing {
-            if standing.condition.state == next.condition.state {
-                next.condition.since = standing.condition.since;
+        if let Some(stored) = stored {
+            if stored.condition.state == next.condition.state {
+                next.condition.since = stored.condition.since;
             }
-            if standing == next {
+            if stored == next {
                 return Ok(());
             }
         }
@@ -89,11 +89,11 @@
         self.scan(&rows::kind_status_prefix(kind)).await
     }
 
-    /// Removes the conditions of a resource that was deleted.
+    /// Removes the conditions of a deleted resource.
     ///
     /// # Errors
     ///
-    /// `Error::Platform` if the table cannot be asked. Removing again is safe.
+    /// `Error::Platform` if a call to the table fails. Removing again is safe.
     pub async fn forget(&self, key: &ResourceKey) -> Result<()> {
         let records = self.of(key).await?;
         let writes: Vec<Write> =
--- a/crates/anvilhook-store/tests/archives.rs
+++ b/crates/anvilhook-store/tests/archives.rs
@@ -1,4 +1,4 @@
-//! Archiving the audit trail: gapless whatever interrupts it.
+//! Tests that archiving the audit trail leaves no gap, whatever interrupts it.
 
 mod fixtures;
 
@@ -7,9 +7,11 @@
 use anvilhook_platform::{ObjectStore, Table};
 use anvilhook_store::{ArchiveOptions, ArchiveStep, AuditArchive, Error};
 use bytes::Bytes;
-use fixtures::{Platform, Trip, Tripwire, declare, empty, platform, put, request, store};
+use fixtures::{
+    CallFault, FaultyPlatform, Platform, declare, empty, platform, put, request, store,
+};
 
-/// The n-th change was made at n seconds.
+/// The time at which the archive runs. The n-th change was made at n seconds.
 const NOW: WallTime = WallTime(100_000);
 
 fn archive<P: Table + ObjectStore>(platform: &P) -> AuditArchive<P, P> {
@@ -37,7 +39,7 @@
 
 #[tokio::test]
 async fn verify_old_entries_move_and_are_still_listed() {
-    // Entries 1 to 9 are old enough; of twelve the newest two stay anyway.
+    // Entries 1 to 9 are old enough. The newest two entries always stay in the table.
     for (changes, kept) in [(2, 2), (5, 2), (9, 2), (12, 3), (20, 11)] {
         let platform = platform();
         declare(&platform, changes).await;
@@ -50,39 +52,45 @@
     }
 }
 
-/// Symptom: a part of the audit trail is gone, or stands twice.
-/// Sequence: the archiver is interrupted at any of its calls, before or after the call's effect,
-/// and goes on later; meanwhile others list.
-/// Cause: rows removed before their object was safe, or a segment entered twice.
+/// Guards against lost or duplicated parts of the audit trail. The archiver is interrupted at any of
+/// its calls, before or after the call's effect, and continues later; the trail is listed in between.
+/// Rows must not be removed before their object is safely stored, and no segment may be recorded twice.
 #[tokio::test]
 async fn verify_an_interruption_at_any_call_leaves_no_gap() {
-    for trip in [Trip::Refused, Trip::LostBeforeEffect, Trip::LostAfterEffect] {
+    for fault in [CallFault::Refused, CallFault::LostBeforeEffect, CallFault::LostAfterEffect] {
         for first in 0..30 {
             let platform = platform();
             declare(&platform, 9).await;
-            let wire = Tripwire::new(&platform, first, usize::MAX, trip);
-            while let Ok(step) = archive(&wire).step(NOW).await
+            let faulty = FaultyPlatform::new(&platform, first, usize::MAX, fault);
+            while let Ok(step) = archive(&faulty).step(NOW).await
                 && step != ArchiveStep::Idle
             {}
 
-            assert_eq!(listed(&platform).await, (1..=9).collect::<Vec<_>>(), "{trip:?} at {first}");
+            assert_eq!(
+                listed(&platform).await,
+                (1..=9).collect::<Vec<_>>(),
+                "{fault:?} at {first}"
+            );
             archive_all(&platform).await;
-            assert_eq!(listed(&platform).await, (1..=9).collect::<Vec<_>>(), "{trip:?} at {first}");
-            assert_eq!(platform.rows("change/").len(), 2, "{trip:?} at {first}");
+            assert_eq!(
+                listed(&platform).await,
+                (1..=9).collect::<Vec<_>>(),
+                "{fault:?} at {first}"
+            );
+            assert_eq!(platform.rows("change/").len(), 2, "{fault:?} at {first}");
         }
     }
 }
 
-/// Symptom: the archive has a gap or an overlap.
-/// Sequence: two instances archive at once and see a different number of old entries.
-/// Cause: both enter their own segment after the same revision.
+/// Guards against a gap or an overlap in the archive. Two instances archive concurrently, see a
+/// different number of old entries, and both try to add a segment after the same revision.
 #[tokio::test]
 async fn verify_two_archivers_make_one_trail() {
     let mut overtaken = 0;
     for head_start in 0..12 {
         let platform = platform();
         declare(&platform, 9).await;
-        // The second one's clock is behind, so that its segment would be shorter.
+        // The second instance's clock is behind, so its segment would be shorter.
         let fast = run(&platform, 0, NOW);
         let slow = run(&platform, head_start, WallTime(NOW.0 - 7_000));
 
@@ -92,23 +100,22 @@
         assert_eq!(listed(&platform).await, (1..=9).collect::<Vec<_>>(), "{head_start}");
         assert_eq!(platform.rows("change/").len(), 2, "{head_start}");
     }
-    assert!(overtaken > 0, "they met");
+    assert!(overtaken > 0, "the archivers never competed");
 }
 
-/// Archives a while, and returns how often another archiver was faster.
+/// Runs several archive steps, and returns how often another archiver was faster.
 async fn run(platform: &Platform, head_start: usize, now: WallTime) -> usize {
-    let wire = Tripwire::taking_turns(platform, head_start).await;
+    let faulty = FaultyPlatform::alternating(platform, head_start).await;
     let mut overtaken = 0;
     for _ in 0..12 {
-        let step = archive(&wire).step(now).await.unwrap();
+        let step = archive(&faulty).step(now).await.unwrap();
         overtaken += usize::from(step == ArchiveStep::Overtaken);
     }
     overtaken
 }
 
-/// Symptom: entries are gone for good.
-/// Sequence: the object store loses or damages a segment before its rows are removed.
-/// Cause: the rows were removed on the word of the store's answer alone.
+/// Guards against the permanent loss of entries. The object store damages a segment before its rows are
+/// removed; its answer to the write is no evidence that the object is still intact.
 #[tokio::test]
 async fn verify_rows_stay_while_their_object_is_damaged() {
     let platform = platform();
@@ -125,7 +132,7 @@
 }
 
 #[tokio::test]
-async fn verify_those_who_lag_behind_the_archive_start_anew() {
+async fn verify_instances_behind_the_archive_reload_the_configuration() {
     let platform = platform();
     declare(&platform, 9).await;
     let old = std::sync::Arc::new(store(&platform).load_all().await.unwrap());
--- a/crates/anvilhook-store/tests/changes.rs
+++ b/crates/anvilhook-store/tests/changes.rs
@@ -1,4 +1,4 @@
-//! Changes under lost answers, races and outages: what the caller is told is true.
+//! Tests that callers get the true outcome of changes under lost answers, races and outages.
 
 mod fixtures;
 
@@ -11,10 +11,10 @@
 use anvilhook_standin::platform::{Loss, Reach};
 use anvilhook_store::{Accepted, ChangeRequest, ChangeState, Error, Result};
 use fixtures::{
-    Platform, Trip, Tripwire, declare, delete, empty, key, platform, put, request, store,
+    CallFault, FaultyPlatform, Platform, declare, delete, empty, key, platform, put, request, store,
 };
 
-/// Returns how many changes the table holds with this id.
+/// Returns how many changes with this id are in the table.
 fn recorded(platform: &Platform, id: u128) -> usize {
     let id = ChangeId(id).to_string();
     platform.rows("change/").iter().filter(|row| row.value.contains(&id)).count()
@@ -42,58 +42,57 @@
     );
 }
 
-/// Symptom: an operator is told that a change was not made, makes it again, and it is there twice;
-/// or is told that it was made, and it is not there.
-/// Sequence: the table's answer is lost, or the table goes away, at any call of a change, for one
-/// call or for good.
-/// Cause: a lost answer says nothing about the effect of the write.
+/// Guards against a wrong report of a change's outcome: a change that is reported as not made and is
+/// therefore made twice, or one that is reported as made and is missing. The table's answer is lost, or
+/// the table becomes unreachable, at any call of a change, for one call or for good. A lost answer is
+/// no evidence of whether the write took effect.
 #[tokio::test]
-async fn verify_the_truth_is_told_whichever_call_fails() {
-    let trips = [Trip::Refused, Trip::LostBeforeEffect, Trip::LostAfterEffect];
-    let mut told = [0; 3];
-    for trip in trips {
+async fn verify_the_reported_outcome_is_true_whichever_call_fails() {
+    let faults = [CallFault::Refused, CallFault::LostBeforeEffect, CallFault::LostAfterEffect];
+    let mut outcomes = [0; 3];
+    for fault in faults {
         for first in 0..12 {
             for last in [first, first + 1, usize::MAX] {
-                let case = format!("{trip:?} at calls {first} to {last}");
+                let case = format!("{fault:?} at calls {first} to {last}");
                 let platform = platform();
                 declare(&platform, 1).await;
-                let wire = Tripwire::new(&platform, first, last, trip);
+                let faulty = FaultyPlatform::new(&platform, first, last, fault);
                 let req = request(9, put("a1", 2), Expected::Version(Revision(1)));
 
-                let answer = store(&wire).change(&empty(), &req).await;
+                let answer = store(&faulty).change(&empty(), &req).await;
 
                 let made = recorded(&platform, 9);
                 match &answer {
                     Ok(accepted) => {
                         assert_eq!((made, accepted.revision), (1, Revision(2)), "{case}");
-                        told[0] += 1;
+                        outcomes[0] += 1;
                     }
                     Err(Error::Unknown { id, base }) => {
                         assert_eq!((*id, *base), (ChangeId(9), Revision(1)), "{case}");
-                        told[1] += 1;
+                        outcomes[1] += 1;
                     }
                     Err(err) => {
                         assert_eq!(err.verdict(), Verdict::NotRun, "{case}: {err}");
                         assert_eq!(made, 0, "{case}: {err}");
-                        told[2] += 1;
+                        outcomes[2] += 1;
                     }
                 }
 
-                // Asked again by its id, the change is made exactly once.
+                // If the request is repeated with the same id, the change is made exactly once.
                 let again = store(&platform).change(&empty(), &req).await.unwrap();
                 assert_eq!((again.revision, recorded(&platform, 9)), (Revision(2), 1), "{case}");
             }
         }
     }
-    assert!(told.iter().all(|count| *count > 0), "each outcome is reached: {told:?}");
+    assert!(outcomes.iter().all(|count| *count > 0), "not every outcome occurred: {outcomes:?}");
 }
 
-/// Symptom: a change that was reported as unknown, and then as not accepted, appears later.
-/// Sequence: the commit is delayed on its way; the caller asks by the id before and after it lands,
-/// with and without another change in between.
-/// Cause: an id that is not recorded says nothing while the commit can still land.
+/// Guards against a change that is reported as unknown, then as not accepted, and appears later. The
+/// commit is delayed; the caller queries the id before and after the commit takes effect, with and
+/// without another change in between. An id that is not recorded proves nothing while the commit can
+/// still take effect.
 #[tokio::test]
-async fn verify_a_delayed_commit_is_unknown_until_it_cannot_land() {
+async fn verify_a_delayed_commit_is_unknown_until_it_cannot_take_effect() {
     for (other_first, expected) in
         [(false, ChangeState::Accepted { revision: Revision(2) }), (true, ChangeState::NotAccepted)]
     {
@@ -120,7 +119,7 @@
 }
 
 #[tokio::test]
-async fn verify_a_lost_answer_is_tried_again_without_a_double() {
+async fn verify_a_retry_after_a_lost_answer_makes_no_duplicate() {
     for loss in [Loss::BeforeEffect, Loss::AfterEffect, Loss::LateEffect] {
         let platform = platform();
         platform.faults().lose_next_writes(1, loss);
@@ -135,11 +134,11 @@
     }
 }
 
-/// Symptom: one operator's change silently undoes another's.
-/// Sequence: both read version 1 and write at the same moment through different instances.
-/// Cause: the second write was not conditioned on what its operator had seen.
+/// Guards against one operator's change silently undoing another's. Both read version 1 and write at
+/// the same time through different instances. Each write must be conditioned on the version that its
+/// operator has read.
 #[tokio::test]
-async fn verify_of_two_operators_who_race_one_succeeds() {
+async fn verify_only_one_of_two_racing_operators_succeeds() {
     for head_start in 0..8 {
         let platform = platform();
         declare(&platform, 1).await;
@@ -175,17 +174,17 @@
         assert_eq!(revisions, [Revision(2), Revision(3)]);
         conflicts += platform.counts().conflicts;
     }
-    assert!(conflicts > 0, "the head moved under one of them");
+    assert!(conflicts > 0, "the changes never conflicted on the head");
 }
 
-/// Symptom: operators are told to try again although nothing is wrong.
-/// Sequence: many change different resources at the same moment.
-/// Cause: each change moves the head under all others.
+/// Guards against changes that are rejected only because of other changes. Many operators change
+/// different resources at the same time, and each change advances the head on which all others are
+/// conditioned.
 #[tokio::test]
 async fn verify_many_operators_at_once_all_succeed() {
     let platform = platform();
-    let wire = Tripwire::taking_turns(&platform, 0).await;
-    let store = store(&wire);
+    let faulty = FaultyPlatform::alternating(&platform, 0).await;
+    let store = store(&faulty);
     let requests: Vec<ChangeRequest> =
         (1..=20).map(|n| request(n, put(&format!("a{n}"), 1), Expected::Absent)).collect();
     let base = empty();
@@ -199,7 +198,7 @@
     assert_eq!(revisions, (1..=20).collect::<Vec<_>>());
 }
 
-/// Makes two changes that take turns at the table, the second some calls later.
+/// Makes two changes whose calls to the table alternate; the second change starts some calls later.
 async fn race(
     platform: &Platform,
     head_start: usize,
@@ -208,12 +207,12 @@
 ) -> (Result<Accepted>, Result<Accepted>) {
     let seen = Arc::new(store(platform).load_all().await.unwrap());
     let one = async {
-        let wire = Tripwire::taking_turns(platform, 0).await;
-        store(&wire).change(&seen, first).await
+        let faulty = FaultyPlatform::alternating(platform, 0).await;
+        store(&faulty).change(&seen, first).await
     };
     let two = async {
-        let wire = Tripwire::taking_turns(platform, head_start).await;
-        store(&wire).change(&seen, second).await
+        let faulty = FaultyPlatform::alternating(platform, head_start).await;
+        store(&faulty).change(&seen, second).await
     };
     tokio::join!(one, two)
 }
@@ -221,15 +220,20 @@
 #[tokio::test]
 async fn verify_refusals() {
     let cases: [(&str, Change, Expected, &str); 6] = [
-        ("create what is there", put("a1", 2), Expected::Absent, "Account/a1 stands at version 1"),
-        ("replace what is not there", put("b", 2), Expected::Present, "Account/b does not exist"),
+        (
+            "create an existing one",
+            put("a1", 2),
+            Expected::Absent,
+            "Account/a1 stands at version 1",
+        ),
+        ("replace a missing one", put("b", 2), Expected::Present, "Account/b does not exist"),
         (
             "replace an old version",
             put("a2", 2),
             Expected::Version(Revision(1)),
             "Account/a2 stands at version 2",
         ),
-        ("delete what is not there", delete("b"), Expected::Present, "Account/b does not exist"),
+        ("delete a missing one", delete("b"), Expected::Present, "Account/b does not exist"),
         (
             "delete an old version",
             delete("a2"),
@@ -263,7 +267,7 @@
 }
 
 #[tokio::test]
-async fn verify_with_the_table_down_nothing_is_accepted() {
+async fn verify_no_change_is_accepted_while_the_table_is_down() {
     for reach in [Reach::Refusing, Reach::Cut] {
         let platform = platform();
         declare(&platform, 1).await;
--- a/crates/anvilhook-store/tests/claims/faults.rs
+++ b/crates/anvilhook-store/tests/claims/faults.rs
@@ -1,13 +1,15 @@
-//! Claims under faults: what callers hear, how often requests run, what it costs.
+//! Tests claims under faults: the answers of callers, the number of runs, and the cost.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::units::Millis;
 use anvilhook_standin::platform::{Loss, PlatformFaults, Reach};
 use anvilhook_store::claims::{ClaimOptions, ClaimOutcome, StoredBody};
 
-use crate::fixtures::{Heard, LocalClaims, Site, Upstream, doubtful, heard, outcome, request, won};
+use crate::fixtures::{
+    CallerOutcome, LocalClaims, Site, Upstream, caller_outcome, doubtful, outcome, request, won,
+};
 
-/// Where the first instance is killed.
+/// `Killed` is the point at which the first instance is killed.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Killed {
     Never,
@@ -15,28 +17,28 @@
     AfterDispatch,
 }
 
-/// One fault, and what follows from it.
+/// `FaultCase` is one fault with the expected outcomes.
 struct FaultCase {
     name: &'static str,
-    /// Set before the first instance claims.
+    /// The faults that are set before the first instance claims.
     at_claim: fn(&PlatformFaults),
-    /// Set before the first instance records the outcome or releases the claim.
+    /// The faults that are set before the first instance records the outcome or releases the claim.
     at_settling: fn(&PlatformFaults),
     refuses: bool,
     killed: Killed,
-    /// What the first caller hears, and its repeat at another instance after the fault.
-    heard: [Heard; 2],
-    /// How often the request runs in all.
+    /// The answer to the first request, and to its repeat at another instance after the fault.
+    answers: [CallerOutcome; 2],
+    /// The total number of runs.
     runs: usize,
 }
 
-fn case(name: &'static str, heard: [Heard; 2], runs: usize) -> FaultCase {
+fn case(name: &'static str, answers: [CallerOutcome; 2], runs: usize) -> FaultCase {
     let (at_claim, at_settling) = (|_: &_| (), |_: &_| ());
-    FaultCase { name, at_claim, at_settling, refuses: false, killed: Killed::Never, heard, runs }
+    FaultCase { name, at_claim, at_settling, refuses: false, killed: Killed::Never, answers, runs }
 }
 
 fn fault_cases() -> Vec<FaultCase> {
-    use Heard::{Answer, MayHaveRun, NotRun, Replay};
+    use CallerOutcome::{Answer, MayHaveRun, NotRun, Replay};
     vec![
         case("no fault", [Answer, Replay], 1),
         FaultCase {
@@ -45,7 +47,7 @@
         },
         FaultCase {
             at_claim: |faults| faults.set_reach(Reach::Cut),
-            ..case("instance cut off at the claim", [NotRun, Answer], 1)
+            ..case("instance partitioned at the claim", [NotRun, Answer], 1)
         },
         FaultCase {
             at_claim: |faults| faults.lose_next_writes(2, Loss::AfterEffect),
@@ -57,19 +59,19 @@
         },
         FaultCase {
             at_claim: |faults| faults.lose_next_writes(2, Loss::LateEffect),
-            ..case("claim lands late, after it was sent again", [Answer, Replay], 1)
+            ..case("claim takes effect late, after it was sent again", [Answer, Replay], 1)
         },
         FaultCase {
             at_claim: |faults| faults.lose_next_writes(3, Loss::AfterEffect),
-            ..case("claim given up, though it stands", [NotRun, MayHaveRun], 0)
+            ..case("claim abandoned, but it was written", [NotRun, MayHaveRun], 0)
         },
         FaultCase {
             at_claim: |faults| faults.lose_next_writes(3, Loss::BeforeEffect),
-            ..case("claim given up, and it does not stand", [NotRun, Answer], 1)
+            ..case("claim abandoned, and it was not written", [NotRun, Answer], 1)
         },
         FaultCase {
             at_claim: |faults| faults.lose_next_writes(3, Loss::LateEffect),
-            ..case("claim given up, and it lands late", [NotRun, MayHaveRun], 0)
+            ..case("claim abandoned, and it takes effect late", [NotRun, MayHaveRun], 0)
         },
         FaultCase {
             killed: Killed::BeforeDispatch,
@@ -89,7 +91,7 @@
         },
         FaultCase {
             at_settling: |faults| faults.lose_next_writes(2, Loss::LateEffect),
-            ..case("record lands late, after it was sent again", [Answer, Replay], 1)
+            ..case("record takes effect late, after it was sent again", [Answer, Replay], 1)
         },
         FaultCase { refuses: true, ..case("upstream refuses", [NotRun, Answer], 1) },
         FaultCase {
@@ -100,7 +102,7 @@
         FaultCase {
             refuses: true,
             at_settling: |faults| faults.lose_next_writes(1, Loss::LateEffect),
-            ..case("release lands late, after it was sent again", [NotRun, Answer], 1)
+            ..case("release takes effect late, after it was sent again", [NotRun, Answer], 1)
         },
         FaultCase {
             refuses: true,
@@ -110,59 +112,58 @@
     ]
 }
 
-/// Takes one request through its claim, its run and its settling.
+/// Claims, runs and settles one request.
 async fn serve(
     claims: &LocalClaims,
     attempt: u128,
     upstream: &Upstream,
     killed: Killed,
     before_settling: impl FnOnce(),
-) -> Heard {
+) -> CallerOutcome {
     let held = match claims.claim(&request("k", "body", attempt)).await {
         ClaimOutcome::Won(held) => held,
-        other => return heard(&other),
+        other => return caller_outcome(&other),
     };
     if killed == Killed::BeforeDispatch {
-        return Heard::MayHaveRun;
+        return CallerOutcome::MayHaveRun;
     }
     let verdict = upstream.run();
     if killed == Killed::AfterDispatch {
-        return Heard::MayHaveRun;
+        return CallerOutcome::MayHaveRun;
     }
 
-    // The table's failure changes nothing for this caller.
+    // A failure of the table does not change the answer to this caller.
     before_settling();
     if verdict == Verdict::NotRun {
         let _ = claims.release(&held).await;
-        return Heard::NotRun;
+        return CallerOutcome::NotRun;
     }
     let _ = claims.record(&held, outcome(b"{}")).await;
-    Heard::Answer
+    CallerOutcome::Answer
 }
 
 #[tokio::test]
-async fn verify_each_fault_leaves_the_truth_to_a_repeat() {
-    // Symptom: a chef gets one alert twice, or is told that it was not sent though it was.
-    // Sequence: the table fails around the claim, or the instance is killed; the caller repeats
-    // the request, which reaches another instance.
-    // Cause: what the first instance did not know, it took for done or for not done.
+async fn verify_a_repeat_gets_the_true_outcome_after_each_fault() {
+    // Guards against a request that runs twice, or that is reported as not run although it ran. The
+    // table fails around the claim, or the instance is killed; the caller repeats the request, which
+    // reaches another instance. An unknown outcome must not be taken for a run or for no run.
     for case in fault_cases() {
         let mut site = Site::new();
         let (first, view) = site.instance();
         let mut upstream = Upstream::default();
         upstream.refuses = case.refuses;
-        // The epoch is known, so that each case's losses meet the claim itself.
+        // The first claim reads the epoch, so that each case's losses apply to the claim itself.
         won(first.claim(&request("other", "", 9)).await);
 
         (case.at_claim)(&view.faults());
         let settling = || (case.at_settling)(&view.faults());
-        let first_heard = serve(&first, 1, &upstream, case.killed, settling).await;
+        let first_answer = serve(&first, 1, &upstream, case.killed, settling).await;
         site.platform.land_late_writes();
         upstream.refuses = false;
         let (second, _) = site.instance();
-        let second_heard = serve(&second, 2, &upstream, Killed::Never, || ()).await;
+        let second_answer = serve(&second, 2, &upstream, Killed::Never, || ()).await;
 
-        assert_eq!([first_heard, second_heard], case.heard, "{}", case.name);
+        assert_eq!([first_answer, second_answer], case.answers, "{}", case.name);
         assert_eq!(upstream.runs(), case.runs, "{}", case.name);
     }
 }
@@ -181,17 +182,16 @@
 
         let (second, _) = site.instance();
         let repeat = second.claim(&request("k", "body", 2)).await;
-        assert_eq!(heard(&repeat), Heard::Answer, "{loss:?}");
+        assert_eq!(caller_outcome(&repeat), CallerOutcome::Answer, "{loss:?}");
     }
 }
 
 #[tokio::test]
-async fn verify_releasing_a_doubtful_claim_leaves_another_alone() {
-    // Symptom: a request runs twice after an instance regained the table.
-    // Sequence: A's claim is lost without effect and given up; B claims and dispatches; A releases
-    // what it takes for its own claim; C claims the freed key and dispatches.
-    // Cause: the release went by the row's version alone, and B's row has the version that A's
-    // would have had.
+async fn verify_releasing_a_doubtful_claim_does_not_release_another() {
+    // Guards against a request that runs twice after an instance reaches the table again. A's claim
+    // has no effect and is abandoned; B claims and dispatches; A releases its claim in doubt; C claims
+    // the key and dispatches. The release must not rely on the row's version alone, because B's row
+    // has the version that A's would have had.
     let mut site = Site::new();
     let (first, view) = site.instance();
     won(first.claim(&request("other", "", 9)).await);
@@ -204,7 +204,7 @@
 
     let (third, _) = site.instance();
     let repeat = third.claim(&request("k", "body", 3)).await;
-    assert_eq!(heard(&repeat), Heard::MayHaveRun);
+    assert_eq!(caller_outcome(&repeat), CallerOutcome::MayHaveRun);
 }
 
 #[tokio::test]
@@ -221,12 +221,13 @@
     first.record(&held, outcome(b"{}")).await.unwrap();
     let once_recorded = first.claim(&other_body).await;
 
-    let all = [while_claimed, while_released, once_recorded].map(|outcome| heard(&outcome));
-    assert_eq!(all, [Heard::KeyReused; 3]);
+    let all =
+        [while_claimed, while_released, once_recorded].map(|outcome| caller_outcome(&outcome));
+    assert_eq!(all, [CallerOutcome::KeyReused; 3]);
 }
 
 #[tokio::test]
-async fn verify_a_repeat_hears_the_same_answer() {
+async fn verify_a_repeat_gets_the_same_answer() {
     let large = vec![b'x'; ClaimOptions::default().max_body_bytes + 1];
     let cases: [(&[u8], StoredBody); 3] = [
         (b"{\"sent\":1}", StoredBody::Text { text: "{\"sent\":1}".to_owned() }),
@@ -234,7 +235,7 @@
         (&large, StoredBody::TooLarge { len: large.len() }),
     ];
 
-    for (body, kept) in cases {
+    for (body, stored) in cases {
         let mut site = Site::new();
         let (first, _) = site.instance();
         let held = won(first.claim(&request("k", "body", 1)).await);
@@ -245,9 +246,9 @@
             panic!("no replay");
         };
 
-        let kept_bytes = kept.bytes();
-        assert_eq!((replay.status, &replay.body), (200, &kept));
-        assert!(kept_bytes.is_none_or(|bytes| bytes == body));
+        let stored_bytes = stored.bytes();
+        assert_eq!((replay.status, &replay.body), (200, &stored));
+        assert!(stored_bytes.is_none_or(|bytes| bytes == body));
     }
 }
 
@@ -266,7 +267,7 @@
     claims.claim(&request("k0", "", 99)).await;
     let repeat = view.counts();
 
-    assert_eq!((start.reads, start.commits), (1, 2), "an instance's first claim learns the epoch");
+    assert_eq!((start.reads, start.commits), (1, 2), "an instance's first claim reads the epoch");
     assert_eq!(end.commits - start.commits, 20);
     assert_eq!(end.rows_written - start.rows_written, 20);
     assert_eq!((end.reads, end.scans), (start.reads, start.scans));
--- a/crates/anvilhook-store/tests/claims/fixtures.rs
+++ b/crates/anvilhook-store/tests/claims/fixtures.rs
@@ -1,4 +1,5 @@
-//! A platform, instances with claims on it, and an upstream that counts what it runs.
+//! Fixtures of the claim tests: a platform, instances that make claims on it, and an upstream that
+//! counts its runs.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -14,7 +15,7 @@
     StoredOutcome,
 };
 
-/// A request with `key` and `body`, whose attempt has the number `attempt`.
+/// Creates a request with `key` and `body` whose attempt has the number `attempt`.
 pub fn request(key: &str, body: &str, attempt: u128) -> ClaimRequest {
     let account = AccountName::try_new("papadakis").unwrap();
     let service = ServiceName::try_new("chef-alerts").unwrap();
@@ -27,7 +28,7 @@
     }
 }
 
-/// An outcome with a body.
+/// Creates a successful outcome with a body.
 pub fn outcome(body: &[u8]) -> StoredOutcome {
     StoredOutcome {
         verdict: Verdict::Ran,
@@ -37,7 +38,7 @@
     }
 }
 
-/// The claims of an instance named `entry-N`.
+/// Creates the claims of the instance `entry-N`.
 pub fn claims<T: Table>(
     table: T,
     clock: &ManualClock,
@@ -48,19 +49,19 @@
     Claims::new(table, clock.clone(), name, options)
 }
 
-/// What a caller hears.
+/// `CallerOutcome` is the answer that a caller gets.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-pub enum Heard {
-    /// The answer of its own request.
+pub enum CallerOutcome {
+    /// The answer to its own request.
     Answer,
-    /// The answer of an earlier request with the key.
+    /// The answer to an earlier request with the key.
     Replay,
     NotRun,
     MayHaveRun,
     KeyReused,
 }
 
-/// An upstream that counts what it runs.
+/// `Upstream` counts the requests that it runs.
 #[derive(Clone, Debug, Default)]
 pub struct Upstream {
     pub refuses: bool,
@@ -72,7 +73,7 @@
         self.runs.load(Ordering::SeqCst)
     }
 
-    /// Runs a request, unless it refuses.
+    /// Runs a request, unless the upstream refuses requests.
     pub fn run(&self) -> Verdict {
         if self.refuses {
             return Verdict::NotRun;
@@ -82,21 +83,21 @@
     }
 }
 
-/// What a caller hears of a request that was not dispatched.
-pub fn heard(outcome: &ClaimOutcome) -> Heard {
+/// Returns the answer that a caller gets for the outcome of its claim.
+pub fn caller_outcome(outcome: &ClaimOutcome) -> CallerOutcome {
     match outcome {
-        ClaimOutcome::Won(_) => Heard::Answer,
-        ClaimOutcome::Recorded(_) => Heard::Replay,
-        ClaimOutcome::MayHaveRun(_) => Heard::MayHaveRun,
-        ClaimOutcome::KeyReused(_) => Heard::KeyReused,
-        ClaimOutcome::Refused { .. } => Heard::NotRun,
+        ClaimOutcome::Won(_) => CallerOutcome::Answer,
+        ClaimOutcome::Recorded(_) => CallerOutcome::Replay,
+        ClaimOutcome::MayHaveRun(_) => CallerOutcome::MayHaveRun,
+        ClaimOutcome::KeyReused(_) => CallerOutcome::KeyReused,
+        ClaimOutcome::Refused { .. } => CallerOutcome::NotRun,
     }
 }
 
-/// The claims of an instance that reaches the platform within the process.
+/// The claims of an instance that uses an in-process platform.
 pub type LocalClaims = Claims<LocalPlatform<ManualClock>, ManualClock>;
 
-/// A platform and the number of instances that came to it.
+/// `Site` is a platform, with the number of instances that were started on it.
 pub struct Site {
     pub clock: ManualClock,
     pub platform: LocalPlatform<ManualClock>,
@@ -110,14 +111,14 @@
         Self { clock, platform, instances: 0 }
     }
 
-    /// Starts an instance, which has its own view of the platform.
+    /// Starts an instance with its own view of the platform.
     pub fn instance(&mut self) -> (LocalClaims, LocalPlatform<ManualClock>) {
         self.instances += 1;
         let view = self.platform.for_caller(&format!("entry-{}", self.instances));
         (claims(view.clone(), &self.clock, self.instances, ClaimOptions::default()), view)
     }
 
-    /// Begins epochs as instances do once the time has passed.
+    /// Begins epochs, as instances do after each epoch length.
     pub async fn begin_epochs(&self, count: usize) {
         let write = Write::Put { key: RowKey::new("claim-epoch"), value: "{}".to_owned() };
         let txn = Transaction { conditions: vec![], writes: vec![write] };
@@ -127,7 +128,7 @@
     }
 }
 
-/// Returns a claim that must have been won.
+/// Returns the claim, and panics if it was not won.
 pub fn won(outcome: ClaimOutcome) -> HeldClaim {
     match outcome {
         ClaimOutcome::Won(held) => held,
@@ -135,7 +136,7 @@
     }
 }
 
-/// Returns a claim that must have been left in doubt.
+/// Returns the claim, and panics if it is not in doubt.
 pub fn doubtful(outcome: ClaimOutcome) -> HeldClaim {
     match outcome {
         ClaimOutcome::Refused { doubtful: Some(held), .. } => held,
--- a/crates/anvilhook-store/tests/claims/gates.rs
+++ b/crates/anvilhook-store/tests/claims/gates.rs
@@ -1,4 +1,5 @@
-//! Instances that stop at each of their steps, and the choice of who goes on.
+//! Lets a test choose the order of the steps of several instances, each of which pauses before every
+//! step.
 
 use std::future::poll_fn;
 use std::pin::Pin;
@@ -9,12 +10,12 @@
 use anvilhook_platform::{Commit, Result, Row, RowKey, Table, Transaction};
 use anvilhook_standin::platform::{LocalPlatform, Loss};
 
-use crate::fixtures::Heard;
+use crate::fixtures::CallerOutcome;
 
-/// What an instance's caller hears, and how often that instance dispatched.
-pub type Served = (Heard, usize);
+/// The answer that an instance's caller gets, and how often that instance dispatched.
+pub type Served = (CallerOutcome, usize);
 
-/// `Step` is what a waiting instance is about to do.
+/// `Step` is the next step of a paused instance.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Step {
     Read,
@@ -22,7 +23,7 @@
     Dispatch,
 }
 
-/// `Gate` holds one instance at each of its steps.
+/// `Gate` pauses one instance before each of its steps.
 #[derive(Debug, Default)]
 pub struct Gate {
     open: bool,
@@ -75,7 +76,7 @@
     }
 }
 
-/// Runs a future that waits for nothing.
+/// Runs a future that never waits, and panics if it does.
 pub fn now_or_never<F: Future>(future: F) -> F::Output {
     match std::pin::pin!(future).poll(&mut Context::from_waker(Waker::noop())) {
         Poll::Ready(output) => output,
@@ -83,7 +84,7 @@
     }
 }
 
-/// `Choices` goes through all sequences of choices, depth first.
+/// `Choices` enumerates all sequences of choices, depth first.
 #[derive(Default)]
 pub struct Choices {
     taken: Vec<(usize, usize)>,
@@ -101,7 +102,7 @@
         chosen
     }
 
-    /// Goes on to the next sequence, if there is one.
+    /// Advances to the next sequence, and returns whether there is one.
     pub fn advance(&mut self) -> bool {
         self.next = 0;
         while let Some((chosen, count)) = self.taken.pop() {
@@ -114,7 +115,7 @@
     }
 }
 
-/// `Move` is one choice.
+/// `Move` is one possible choice.
 #[derive(Clone, Copy, Debug)]
 pub enum Move {
     Go { racer: usize, loss: Option<Loss> },
@@ -122,10 +123,10 @@
     LandLateWrites,
 }
 
-/// `Racer` is one instance on its way through its steps.
+/// `Racer` is one instance that runs step by step.
 pub struct Racer {
     gate: Arc<Mutex<Gate>>,
-    /// None once it is killed.
+    /// The rest of the run, or `None` once it has ended or was killed.
     pub future: Option<Pin<Box<dyn Future<Output = Served>>>>,
     pub served: Option<Served>,
 }
@@ -139,7 +140,7 @@
         racer
     }
 
-    /// Lets it run up to its next step.
+    /// Runs the instance up to its next step.
     fn poll(&mut self) {
         let mut cx = Context::from_waker(Waker::noop());
         let Some(future) = &mut self.future else { return };
--- a/crates/anvilhook-store/tests/claims/interleavings.rs
+++ b/crates/anvilhook-store/tests/claims/interleavings.rs
@@ -1,8 +1,8 @@
-//! Every order of the steps of instances that race for one key, with every place for a lost answer
-//! or a kill. In each order the request runs at most once, and callers hear the truth.
+//! Tests every order of the steps of instances that race for one key, with a lost answer or a kill at
+//! every point. In each order the request runs at most once, and callers get true answers.
 //!
-//! A run is replayed from its start for each order: the steps are the calls of the table and the
-//! dispatch, and a choice is which instance goes on and with what fault.
+//! A run is replayed from its start for each order. The steps are the calls to the table and the
+//! dispatch; each choice selects which instance continues, and with which fault.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::attempts::AttemptId;
@@ -11,19 +11,19 @@
 use anvilhook_standin::platform::{LocalPlatform, Loss, PlatformOptions};
 use anvilhook_store::claims::{ClaimOptions, ClaimOutcome, ClaimRequest, Claims, Sweeper};
 
-use crate::fixtures::{Heard, Upstream, claims, heard, outcome, request};
+use crate::fixtures::{CallerOutcome, Upstream, caller_outcome, claims, outcome, request};
 use crate::gates::{Choices, Gated, Move, Racer, Served, Step, now_or_never};
 
-/// When an instance dispatches.
+/// `Rule` determines when an instance dispatches.
 #[derive(Clone, Copy, Eq, PartialEq)]
 enum Rule {
-    /// Only after its claim is known to stand.
+    /// Only after its claim is known to be written.
     ClaimKnown,
-    /// Also when its claim's answer was lost: the broken rule that the check must catch.
+    /// Also if its claim's answer was lost. This is a broken rule that the check must detect.
     ClaimSent,
 }
 
-/// What is checked over all orders.
+/// `Scenario` is a race that is checked in all orders.
 #[derive(Clone, Copy)]
 struct Scenario {
     rule: Rule,
@@ -58,24 +58,24 @@
         ClaimOutcome::Refused { doubtful: Some(held), .. } if rule == Rule::ClaimSent => held,
         ClaimOutcome::Refused { doubtful: Some(held), .. } => {
             let _ = claims.release(&held).await;
-            return (Heard::NotRun, 0);
+            return (CallerOutcome::NotRun, 0);
         }
-        other => return (heard(&other), 0),
+        other => return (caller_outcome(&other), 0),
     };
     table.pass(Step::Dispatch).await;
     if upstream.run() == Verdict::NotRun {
         let _ = claims.release(&held).await;
-        return (Heard::NotRun, 0);
+        return (CallerOutcome::NotRun, 0);
     }
     let _ = claims.record(&held, outcome(b"{}")).await;
-    (Heard::Answer, 1)
+    (CallerOutcome::Answer, 1)
 }
 
 /// Begins an epoch and sweeps.
 async fn sweep(claims: Claims<Gated, ManualClock>, table: Gated, epoch: u64) -> Served {
     begin_epoch(&table, Some(epoch)).await;
     let _ = claims.sweep(&mut Sweeper::default(), |_| false).await;
-    (Heard::Replay, 0)
+    (CallerOutcome::Replay, 0)
 }
 
 async fn begin_epoch(table: &impl Table, at: Option<u64>) {
@@ -86,7 +86,7 @@
     let _ = table.commit(&Transaction { conditions, writes }).await;
 }
 
-/// `Requests` are digested once for all orders.
+/// `Requests` contains the requests, which are digested only once for all orders.
 struct Requests {
     raced: ClaimRequest,
     other: ClaimRequest,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Carries out one order, and returns what went wrong in it.
+/// Runs one order, and returns the violation that occurred in it, if any.
 fn run(scenario: &Scenario, choices: &mut Choices, reqs: &Requests) -> Option<String> {
     let clock = ManualClock::new();
     let platform = LocalPlatform::new(clock.clone(), PlatformOptions::default());
@@ -143,7 +143,7 @@
     let (last, _) =
         now_or_never(serve(claims, table, reqs.raced(4), upstream.clone(), Rule::ClaimKnown));
     let runs = upstream.runs();
-    judge(&racers, faults, last, runs)
+    find_violation(&racers, faults, last, runs)
 }
 
 /// Makes moves until all racers have ended, and returns the number of faults among them.
@@ -159,8 +159,8 @@
         let mut moves = Vec::new();
         for (number, racer) in racers.iter().enumerate() {
             let is_last = last.is_none_or(|last: usize| last == number);
-            let last_goes_on = last.is_some_and(|last| racers[last].future.is_some());
-            if is_last || !last_goes_on || switches < scenario.max_switches {
+            let last_can_go = last.is_some_and(|last| racers[last].future.is_some());
+            if is_last || !last_can_go || switches < scenario.max_switches {
                 racer.moves(number, faults < scenario.max_faults, &mut moves);
             }
         }
@@ -190,33 +190,38 @@
     }
 }
 
-/// Returns what is wrong with an order's end.
-fn judge(racers: &[Racer], faults: usize, last: Heard, runs: usize) -> Option<String> {
+/// Returns the violation in the result of an order, if any.
+fn find_violation(
+    racers: &[Racer],
+    faults: usize,
+    last: CallerOutcome,
+    runs: usize,
+) -> Option<String> {
     let served: Vec<Served> = racers.iter().filter_map(|racer| racer.served).collect();
     if runs > 1 {
-        return Some(format!("ran {runs} times; heard {served:?}, then {last:?}"));
+        return Some(format!("ran {runs} times; answers {served:?}, then {last:?}"));
     }
-    if served.iter().any(|(heard, runs)| *heard == Heard::NotRun && *runs > 0) {
-        return Some(format!("a false not-run; heard {served:?}"));
+    if served.iter().any(|(answer, runs)| *answer == CallerOutcome::NotRun && *runs > 0) {
+        return Some(format!("a false not-run; answers {served:?}"));
     }
-    let truth = match last {
-        Heard::Answer | Heard::Replay => runs == 1,
-        // Without a fault, a repeat after both have ended hears the outcome.
-        Heard::MayHaveRun => faults > 0,
-        Heard::NotRun | Heard::KeyReused => false,
+    let is_true = match last {
+        CallerOutcome::Answer | CallerOutcome::Replay => runs == 1,
+        // Without a fault, a repeat after both have ended gets the recorded outcome.
+        CallerOutcome::MayHaveRun => faults > 0,
+        CallerOutcome::NotRun | CallerOutcome::KeyReused => false,
     };
-    (!truth).then(|| format!("after {faults} faults and {runs} runs a repeat hears {last:?}"))
+    (!is_true).then(|| format!("after {faults} faults and {runs} runs a repeat gets {last:?}"))
 }
 
-/// Goes through all orders, and returns their number and the first fault found.
+/// Runs all orders, and returns their number and the first violation.
 fn check(scenario: &Scenario) -> (usize, Option<String>) {
     let mut choices = Choices::default();
     let reqs = Requests { raced: request("k", "", 0), other: request("other", "", 90) };
     let mut orders = 0;
     loop {
         orders += 1;
-        if let Some(wrong) = run(scenario, &mut choices, &reqs) {
-            return (orders, Some(wrong));
+        if let Some(violation) = run(scenario, &mut choices, &reqs) {
+            return (orders, Some(violation));
         }
         if !choices.advance() {
             return (orders, None);
@@ -224,39 +229,39 @@
     }
 }
 
-fn assert_sound(scenario: &Scenario) {
-    let (orders, wrong) = check(scenario);
+fn assert_no_violation(scenario: &Scenario) {
+    let (orders, violation) = check(scenario);
 
-    assert_eq!(wrong, None, "after {orders} orders");
+    assert_eq!(violation, None, "after {orders} orders");
     assert!(orders > 1_000, "only {orders} orders");
 }
 
 #[test]
 fn verify_two_instances_that_race_run_a_request_once() {
-    assert_sound(&PLAIN);
+    assert_no_violation(&PLAIN);
 }
 
 #[test]
 fn verify_a_refused_request_runs_once_at_the_other() {
-    assert_sound(&Scenario { first_refused: true, ..PLAIN });
+    assert_no_violation(&Scenario { first_refused: true, ..PLAIN });
 }
 
 #[test]
 fn verify_a_released_key_is_taken_over_once() {
-    assert_sound(&Scenario { released_before: true, max_switches: 2, ..PLAIN });
+    assert_no_violation(&Scenario { released_before: true, max_switches: 2, ..PLAIN });
 }
 
 #[test]
 fn verify_a_released_key_is_taken_over_once_during_a_sweep() {
     let scenario = Scenario { released_before: true, sweeps: true, ..PLAIN };
-    assert_sound(&Scenario { max_faults: 0, max_switches: 4, ..scenario });
+    assert_no_violation(&Scenario { max_faults: 0, max_switches: 4, ..scenario });
 }
 
 #[test]
 fn verify_the_check_catches_a_dispatch_without_a_known_claim() {
     let broken = Scenario { rule: Rule::ClaimSent, ..PLAIN };
 
-    let (_, wrong) = check(&broken);
+    let (_, violation) = check(&broken);
 
-    assert!(wrong.is_some_and(|wrong| wrong.starts_with("ran 2 times")));
+    assert!(violation.is_some_and(|violation| violation.starts_with("ran 2 times")));
 }
--- a/crates/anvilhook-store/tests/claims/main.rs
+++ b/crates/anvilhook-store/tests/claims/main.rs
@@ -1,4 +1,5 @@
-//! Claims: at most once across instances, under faults, in every order of steps and over time.
+//! Tests that claimed requests run at most once across instances, under faults, in every order of steps
+//! and over time.
 
 mod faults;
 mod fixtures;
--- a/crates/anvilhook-store/tests/claims/over_http.rs
+++ b/crates/anvilhook-store/tests/claims/over_http.rs
@@ -1,4 +1,4 @@
-//! Instances that race for many keys at once over HTTP, while answers are lost.
+//! Tests instances that race for many keys concurrently over HTTP, while answers are lost.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
     let mut servers = Vec::new();
     for number in 1..=INSTANCES {
         let view = site.platform.for_caller(&format!("entry-{number}"));
-        // Each instance loses its answers in a pattern of its own.
+        // Each instance loses its answers in a different pattern.
         for _ in 0..KEYS {
             view.faults().pass_next_writes(number);
             view.faults().lose_next_writes(1, Loss::AfterEffect);
--- a/crates/anvilhook-store/tests/claims/sweeps.rs
+++ b/crates/anvilhook-store/tests/claims/sweeps.rs
@@ -1,4 +1,4 @@
-//! Epochs and sweeps: how long claims are kept, and that late writes meet no newer claim.
+//! Tests epochs and sweeps: how long claims are retained, and that late writes change no newer claim.
 
 use anvilhook_core::names::{UpstreamName, ZoneName};
 use anvilhook_core::units::Millis;
@@ -6,10 +6,10 @@
 use anvilhook_standin::platform::{Loss, Reach, Service};
 use anvilhook_store::claims::{ClaimOptions, ClaimOutcome, Sweeper};
 
-use crate::fixtures::{Heard, Site, doubtful, heard, outcome, request, won};
+use crate::fixtures::{CallerOutcome, Site, caller_outcome, doubtful, outcome, request, won};
 
 #[tokio::test]
-async fn verify_claims_outlive_an_epoch_that_moves() {
+async fn verify_claims_can_be_settled_after_a_change_of_epoch() {
     let mut site = Site::new();
     let (first, view) = site.instance();
     let held = won(first.claim(&request("k", "body", 1)).await);
@@ -19,7 +19,7 @@
     first.record(&held, outcome(b"{}")).await.unwrap();
     won(first.claim(&request("k2", "body", 2)).await);
 
-    // The record meets the new epoch and is sent once more; the claim knows it.
+    // The record conflicts with the new epoch and is sent once more; the next claim uses that epoch.
     assert_eq!(view.counts().commits - start.commits, 3);
     assert_eq!(view.counts().reads, start.reads);
 }
@@ -32,7 +32,7 @@
     let mut sweeper = Sweeper::default();
     let present = || site.platform.rows("claim-epoch").first().map(|row| row.version);
 
-    // The sweeper has seen each epoch since the sweep in which it began.
+    // The sweeper has observed each epoch since the sweep in which the epoch began.
     for (wait, expected) in [(Millis(9), 1), (epoch - Millis(1), 1), (Millis(1), 2), (epoch, 2)] {
         site.clock.advance(wait);
         claims.sweep(&mut sweeper, |_| false).await.unwrap();
@@ -51,7 +51,7 @@
     claims.release(&released).await.unwrap();
     won(claims.claim(&request("in flight", "", 3)).await);
 
-    // Four epochs stand whole after the one in which the rows were written.
+    // Claims expire only after four whole epochs after the one in which the rows were written.
     site.begin_epochs(4).await;
     let early = claims.sweep(&mut sweeper, |_| true).await.unwrap();
     site.begin_epochs(1).await;
@@ -90,7 +90,7 @@
     site.begin_epochs(5).await;
     let start = site.platform.counts();
 
-    // The second sweep is another instance's.
+    // The second sweep is made by another instance.
     let first = claims.sweep(&mut Sweeper::default(), |_| false).await.unwrap();
     let second = other.sweep(&mut Sweeper::default(), |_| false).await.unwrap();
     let idle = claims.sweep(&mut Sweeper::default(), |_| false).await.unwrap();
@@ -105,12 +105,11 @@
 }
 
 #[tokio::test]
-async fn verify_late_writes_leave_a_new_claim_alone() {
-    // Symptom: a request whose outcome was recorded runs again on a repeat.
-    // Sequence: a write of an old claim is held back; the row is deleted in a sweep, and a new
-    // claim of the key is recorded, which brings its row to the version that the old write
-    // requires; the old write lands.
-    // Cause: the old write went by the row's version alone.
+async fn verify_late_writes_do_not_change_a_new_claim() {
+    // Guards against a repeat that runs a request again although its outcome was recorded. A write of
+    // an old claim is delayed; the row is deleted in a sweep, and a new claim of the key is recorded,
+    // so that its row has the version that the old write requires; the old write takes effect. Writes
+    // must not rely on the row's version alone.
     for late in ["deletion", "takeover", "record"] {
         let mut site = Site::new();
         let (first, view) = site.instance();
@@ -125,7 +124,7 @@
             }
             "takeover" => {
                 first.release(&held).await.unwrap();
-                // The first write meets the released row, the second is the takeover.
+                // The first write conflicts with the released row, the second one takes it over.
                 faults.pass_next_writes(1);
                 faults.lose_next_writes(3, Loss::LateEffect);
                 doubtful(first.claim(&request("k", "body", 4)).await);
@@ -148,7 +147,7 @@
         let repeat = second.claim(&request("k", "body", 3)).await;
         match repeat {
             ClaimOutcome::Recorded(replay) => assert_eq!(replay, outcome(b"new"), "late {late}"),
-            repeat => assert_eq!(heard(&repeat), Heard::MayHaveRun, "late {late}"),
+            repeat => assert_eq!(caller_outcome(&repeat), CallerOutcome::MayHaveRun, "late {late}"),
         }
     }
 }
--- a/crates/anvilhook-store/tests/followers.rs
+++ b/crates/anvilhook-store/tests/followers.rs
@@ -1,4 +1,4 @@
-//! Following the configuration: it is whole, it never reverts, and it costs few reads.
+//! Tests that a followed configuration is complete, never reverts, and costs few reads.
 
 mod fixtures;
 
@@ -27,9 +27,9 @@
     states.collect()
 }
 
-/// Symptom: an accepted configuration is undone on one instance for a while.
-/// Sequence: polls and hand-overs of peers arrive late, twice and in any order.
-/// Cause: the last to arrive was adopted instead of the newest.
+/// Guards against an accepted configuration that is temporarily undone on one instance. Results of
+/// polls and configurations of peers arrive late, twice and in any order; the newest must be adopted,
+/// not the last to arrive.
 #[tokio::test]
 async fn verify_offers_in_any_order_never_revert() {
     let platform = platform();
@@ -78,7 +78,7 @@
 }
 
 #[tokio::test]
-async fn verify_outages_and_a_table_that_went_back_leave_what_is_in_force() {
+async fn verify_outages_and_a_restored_table_do_not_change_the_applied_configuration() {
     let platform = platform();
     declare(&platform, 2).await;
     let follower = ConfigurationFollower::new(store(&platform));
@@ -101,7 +101,7 @@
 }
 
 #[tokio::test]
-async fn verify_a_start_with_the_table_down_takes_the_highest_of_the_peers() {
+async fn verify_a_start_without_the_table_adopts_the_highest_revision_of_the_peers() {
     let platform = platform();
     declare(&platform, 4).await;
     let states = states(&platform, 4).await;
@@ -110,7 +110,7 @@
     assert!(follower.poll_once().await.is_err());
 
     for held in [1, 3, 0] {
-        // A configuration crosses the peer link as JSON.
+        // Configurations are sent over the peer link as JSON.
         let buf = serde_json::to_vec(&states[held]).unwrap();
         follower.offer(serde_json::from_slice(&buf).unwrap());
     }
@@ -121,7 +121,7 @@
 }
 
 #[tokio::test]
-async fn verify_a_change_is_in_force_here_at_once_and_its_history_is_held() {
+async fn verify_an_own_change_is_applied_immediately_and_retained_in_the_history() {
     let platform = platform();
     declare(&platform, 3).await;
     let view = platform.for_caller("entry-1");
@@ -141,23 +141,22 @@
     assert_eq!(older.iter().map(|entry| entry.revision.0).collect::<Vec<_>>(), [2, 3, 4]);
 }
 
-/// After which revision how many changes are held, if the history can say.
+/// Revisions, each with the number of retained changes after it, or `None` if some are not retained.
 type Held<'a> = &'a [(u64, Option<usize>)];
 
-/// Symptom: a watcher misses a deletion.
-/// Sequence: an instance takes a later revision from a peer, then polls again.
-/// Cause: its history goes on after the gap as if there were none.
+/// Guards against a watcher that misses a deletion. An instance adopts a later revision from a peer,
+/// then polls again. Its history must not continue after the gap as if there were none.
 #[tokio::test]
-async fn verify_a_history_forgets_what_lies_before_a_gap() {
+async fn verify_a_history_drops_the_changes_before_a_gap() {
     let platform = platform();
     declare(&platform, 8).await;
     let entries = store(&platform).changes_since(Revision(0), 8).await.unwrap();
-    // entries known, revision in force; then what is held after some revisions
+    // known entries, applied revision; then the number of retained changes after some revisions
     let steps: [(Range<usize>, u64, Held<'_>); 4] = [
         (0..2, 2, &[(0, Some(2)), (1, Some(1)), (2, Some(0))]),
         (0..0, 5, &[(0, None), (2, None), (4, None), (5, Some(0))]),
         (5..7, 7, &[(4, None), (5, Some(2)), (6, Some(1))]),
-        // One known already comes again, and the oldest makes room.
+        // An entry that is already known is recorded again, and the oldest entry is dropped.
         (6..8, 8, &[(4, None), (5, None), (6, Some(2)), (8, Some(0))]),
     ];
     let mut history = History::new(2);
@@ -173,11 +172,11 @@
     }
 }
 
-/// `Interloper` makes a change before each of the scans that pass it.
+/// `ChangingTable` makes two changes before each scan of resources.
 #[derive(Clone, Debug)]
-struct Interloper(Platform, Arc<std::sync::atomic::AtomicU64>);
+struct ChangingTable(Platform, Arc<std::sync::atomic::AtomicU64>);
 
-impl Table for Interloper {
+impl Table for ChangingTable {
     async fn read(&self, key: &RowKey) -> Result<Option<Row>> {
         self.0.read(key).await
     }
@@ -185,13 +184,13 @@
     async fn scan(&self, prefix: &str, after: Option<&RowKey>, limit: usize) -> Result<Vec<Row>> {
         let n = self.1.fetch_add(1, std::sync::atomic::Ordering::SeqCst);
         if prefix == "resource/" {
-            // One account behind the scan's place goes, and one before it comes.
-            let gone =
+            // One account after the scan's position is deleted, and one before it is created.
+            let deleted =
                 request(u128::from(100 + 2 * n), delete(&format!("a{}", n + 1)), Expected::Present);
-            let come =
+            let created =
                 request(u128::from(101 + 2 * n), put(&format!("a0{n}"), 1), Expected::Absent);
-            store(&self.0).change(&empty(), &gone).await.unwrap();
-            store(&self.0).change(&empty(), &come).await.unwrap();
+            store(&self.0).change(&empty(), &deleted).await.unwrap();
+            store(&self.0).change(&empty(), &created).await.unwrap();
         }
         self.0.scan(prefix, after, limit).await
     }
@@ -201,20 +200,20 @@
     }
 }
 
-/// Symptom: an instance starts with a configuration that never was: half of a change is missing.
-/// Sequence: it scans all resources in pages while operators change them.
-/// Cause: the pages are of different revisions.
+/// Guards against an instance that starts with a configuration that never existed, because some changes
+/// are missing. It scans all resources in pages while operators change them, so the pages are of
+/// different revisions.
 #[tokio::test]
-async fn verify_a_scan_that_races_with_changes_is_whole() {
+async fn verify_a_scan_during_changes_gives_a_complete_configuration() {
     let platform = platform();
     declare(&platform, 9).await;
     let mut options = StoreOptions::new("entry-1".parse().unwrap());
     options.page_rows = 2;
-    let racing = ConfigurationStore::new(Interloper(platform.clone(), Arc::default()), options);
+    let racing = ConfigurationStore::new(ChangingTable(platform.clone(), Arc::default()), options);
 
     let loaded = racing.load_all().await.unwrap();
 
     let count = loaded.revision().0;
-    assert!(count > 9, "changes came in between");
+    assert!(count > 9, "no changes were made during the scan");
     assert_eq!(loaded, states(&platform, count).await[count as usize - 1]);
 }
--- a/crates/anvilhook-store/tests/memberships.rs
+++ b/crates/anvilhook-store/tests/memberships.rs
@@ -1,4 +1,5 @@
-//! Who scans the instances' records, how many rows the fleet reads for it, and how soon it shows.
+//! Tests which instance scans the records, how many rows the fleet reads, and how soon changes of the
+//! members become known.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -15,7 +16,7 @@
 
 const STEP: Millis = Millis(100);
 
-/// A table that counts what is read of it.
+/// `CountedTable` counts the calls that read from the table, and the rows read.
 #[derive(Clone, Debug)]
 struct CountedTable {
     table: LocalPlatform<ManualClock>,
@@ -68,7 +69,7 @@
 }
 
 impl Fleet {
-    /// Starts a fleet, all instances announced, each polling at a time of its own.
+    /// Starts a fleet of announced instances that poll at different times.
     async fn start(count: usize) -> Fleet {
         let clock = ManualClock::new();
         let platform = LocalPlatform::new(clock.clone(), PlatformOptions::default());
@@ -106,7 +107,7 @@
             let now = self.clock.now();
             self.platform.land_late_writes();
             let due = |instance: &&mut Instance| instance.runs && instance.next_poll <= now;
-            // Those whose turn is within one step poll at the same moment, so that they collide.
+            // Instances that are due within one step poll at the same time, so that they collide.
             let polls = self.instances.iter_mut().filter(due).map(|instance| async move {
                 let _ = instance.follower.poll(true).await;
                 instance.next_poll = now + instance.follower.pause();
@@ -115,14 +116,15 @@
         }
     }
 
-    /// Returns how long it takes until all that run know of exactly those with a record.
+    /// Runs until the members of all running instances are exactly the instances with a record, and
+    /// returns how long that takes.
     async fn converge(&mut self, limit: Millis, case: &str) -> Millis {
         let started_at = self.clock.now();
         let records = InstanceDirectory::new(self.platform.clone()).list().await.unwrap();
-        let wanted: BTreeSet<InstanceName> = records.into_iter().map(|one| one.name).collect();
+        let expected: BTreeSet<InstanceName> = records.into_iter().map(|one| one.name).collect();
         let knows = |instance: &Instance| {
             let members = instance.follower.members().iter();
-            members.map(|member| member.name.clone()).collect::<BTreeSet<_>>() == wanted
+            members.map(|member| member.name.clone()).collect::<BTreeSet<_>>() == expected
         };
         while !self.instances.iter().filter(|one| one.runs).all(knows) {
             assert!(self.clock.now() - started_at < limit, "{case}: not after {limit}");
@@ -132,12 +134,11 @@
     }
 }
 
-/// Symptom: the table is read more and more as the fleet grows, until it refuses.
-/// Sequence: every instance reads every other's record every few seconds.
-/// Cause: rows read that grow with the square of the number of instances.
+/// Guards against table reads that grow with the square of the number of instances until the table
+/// refuses calls, because every instance reads every other's record every few seconds.
 #[tokio::test]
 async fn verify_rows_read_do_not_grow_with_the_square_of_the_fleet() {
-    // Instances, and the most calls and rows a second.
+    // The number of instances, and the maximum number of calls and rows per second.
     let cases =
         [(3, 4.0, 5.0), (9, 10.0, 12.0), (27, 29.0, 35.0), (81, 42.0, 60.0), (390, 42.0, 90.0)];
     for (count, max_calls, max_rows) in cases {
@@ -149,17 +150,16 @@
 
         let (calls, rows) = fleet.table.take();
         let (calls, rows) = (calls as f64 / 120.0, rows as f64 / 120.0);
-        println!("{count} instances: {calls:.1} reads and {rows:.1} rows a second");
+        println!("{count} instances: {calls:.1} reads and {rows:.1} rows per second");
         assert!(calls <= max_calls && rows <= max_rows, "{count}: {calls} calls, {rows} rows");
     }
 }
 
-/// Symptom: an instance that starts knows no peers for a long time, or reads the whole fleet.
-/// Sequence: an instance joins a fleet that runs.
-/// Cause: knowledge that has to be gathered anew by each.
+/// Guards against a new instance that knows no peers for a long time, or that has to read the record of
+/// every instance itself. An instance joins a running fleet.
 #[tokio::test]
-async fn verify_a_start_knows_all_after_two_reads() {
-    // Instances, and how long it may take until all know of the new one, whenever it joins.
+async fn verify_a_new_instance_knows_all_members_after_two_reads() {
+    // The number of instances, and the maximum time until all know of the new one, whenever it joins.
     for (count, limit) in [(3, 2_500), (81, 4_500), (390, 13_000)] {
         let mut longest = Millis::ZERO;
         for phase in [0, 1_300, 2_600, 3_900] {
@@ -177,14 +177,13 @@
             let took = fleet.converge(Millis(limit), &format!("{count}, {phase}")).await;
             longest = longest.max(took);
         }
-        println!("{count} instances: a new one is known to all after {longest} at most");
+        println!("{count} instances: a new one is known to all after at most {longest}");
     }
 }
 
-/// Symptom: joins and leaves are never learnt of again.
-/// Sequence: any number of instances are killed, those that scan among them; or writes after scans
-/// lose their answers.
-/// Cause: a task of one instance that nobody takes over.
+/// Guards against scans that stop, so that joins and leaves are not noticed any more. Any number of
+/// instances are killed, including those that scan; or the answers to the writes after scans are lost.
+/// Other instances must continue the scans.
 #[tokio::test]
 async fn verify_scans_go_on_after_any_loss() {
     for count in [3, 9, 81] {
--- a/crates/anvilhook-store/tests/observations.rs
+++ b/crates/anvilhook-store/tests/observations.rs
@@ -1,4 +1,4 @@
-//! Conditions of resources and records of instances.
+//! Tests the conditions of resources and the records of instances.
 
 mod fixtures;
 
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn verify_conditions_of_names_that_begin_alike_stay_apart() {
+async fn verify_conditions_of_names_with_a_common_prefix_are_separate() {
     let statuses = StatusStore::new(platform());
     for (name, kind) in [("a", "Ready"), ("a", "Drained"), ("a.b", "Ready"), ("ab", "Ready")] {
         let record = condition(name, kind, ConditionState::True, "", 1);
