--- a/crates/anvilhook-daemon/src/instances/peers.rs
+++ b/crates/anvilhook-daemon/src/instances/peers.rs
@@ -62,7 +62,7 @@
             let (now, revision) = (self.clock.now(), self.follower.revision());
             let instances = *self.instances.borrow();
             if schedule.is_due(now, revision, instances) {
-                let since = system_wall_time().0.saturating_sub(schedule.in_force_for(now).0);
+                let since = system_wall_time().0.saturating_sub(schedule.applied_for(now).0);
                 if self.announce(revision, WallTime(since)).await {
                     schedule.reported(now, revision, instances);
                     self.announced.send_replace(true);
--- a/crates/anvilhook-store/src/instances.rs
+++ b/crates/anvilhook-store/src/instances.rs
@@ -104,7 +104,7 @@
 /// schedule.reported(Millis(0), Revision(1), 9);
 /// assert!(!schedule.is_due(Millis(4_999), Revision(2), 9));
 /// assert!(schedule.is_due(Millis(5_179), Revision(2), 9));
-/// assert_eq!(schedule.in_force_for(Millis(5_179)), Millis(180));
+/// assert_eq!(schedule.applied_for(Millis(5_179)), Millis(180));
 /// ```
 #[derive(Clone, Copy, Debug)]
 pub struct ReportSchedule {
@@ -159,7 +159,7 @@
 
     /// Returns for how long the current revision has been applied. It is used for the record's `since`,
     /// which is the time at which the revision was applied, not the time of the report.
-    pub fn in_force_for(&self, now: Millis) -> Millis {
+    pub fn applied_for(&self, now: Millis) -> Millis {
         self.applied.map_or(Millis::ZERO, |(at, _)| now - at)
     }
 
--- a/crates/anvilhook-store/tests/reports.rs
+++ b/crates/anvilhook-store/tests/reports.rs
@@ -101,6 +101,6 @@
         schedule.reported(Millis(0), Revision(1), 390);
         let due = |now: &u64| schedule.is_due(Millis(*now), Revision(2), 390);
         let now = (20_000..40_000).find(due).unwrap();
-        assert_eq!(schedule.in_force_for(Millis(now)), Millis(now - 20_000));
+        assert_eq!(schedule.applied_for(Millis(now)), Millis(now - 20_000));
     }
 }
