--- a/crates/anvilhook-authority/src/controllers.rs
+++ b/crates/anvilhook-authority/src/controllers.rs
@@ -190,8 +190,8 @@
         self.observations.all()
     }
 
-    /// Returns the observations that have changed since the last call. One of which only the message
-    /// has changed is returned at most once every two seconds.
+    /// Returns the observations that have changed since the last call. An observation of which only
+    /// the message has changed is returned at most once every two seconds.
     pub fn take_changes(&mut self) -> Vec<Observation> {
         self.observations.take_changes()
     }
--- a/crates/anvilhook-authority/src/owners.rs
+++ b/crates/anvilhook-authority/src/owners.rs
@@ -28,7 +28,7 @@
     stored: Option<Stored<PoolRow>>,
 }
 
-/// `OwnerChange` is the part of a transaction that records an order which concerns the engine's owner:
+/// `OwnerChange` is the part that concerns the engine's owner in the transaction that records an order:
 /// the condition that the pool still owns the engine, or the hand-over.
 #[derive(Clone, Debug)]
 pub(crate) struct OwnerChange {
--- a/crates/anvilhook-authority/tests/drains.rs
+++ b/crates/anvilhook-authority/tests/drains.rs
@@ -29,7 +29,7 @@
 
 /// Guards against a change that aborts the requests of an instance that does not respond. One instance
 /// stops responding, then an engine is to be changed; later the instance comes back, or the platform
-/// reports that it has terminated. No answer must not count as an acknowledgement.
+/// reports that it has terminated. A missing answer must not count as an acknowledgement.
 #[tokio::test(flavor = "current_thread")]
 async fn verify_an_unresponsive_instance_blocks_a_change_and_is_named() {
     for peers in [true, false] {
--- a/crates/anvilhook-authority/tests/ownership.rs
+++ b/crates/anvilhook-authority/tests/ownership.rs
@@ -79,7 +79,7 @@
     taken.map(|record| record.order.order).collect()
 }
 
-/// Checks the engines' logs, and that no order of the old pool followed one of the new.
+/// Checks the engines' logs, and that no order of the old pool followed one of the new pool.
 fn check(fleet: &Fleet, case: &str) {
     check_logs(fleet, case);
     let orders = taken(fleet);
