--- a/crates/anvilhook-daemon/src/proxy/attempts.rs
+++ b/crates/anvilhook-daemon/src/proxy/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempt loop.
+//! Sends the attempts of a request until one is answered or no further attempt is allowed.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::admission::AdmissionOptions;
@@ -17,18 +17,18 @@
 use super::failures::{Code, Failure};
 use super::requests::{ProxyRequest, RequestKind};
 
-/// `ProxyOptions` bounds what is done for one request.
+/// `ProxyOptions` limits the attempts, pauses and admission of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct ProxyOptions {
-    /// The most attempts to have one request answered.
+    /// The maximum number of attempts per request.
     pub max_attempts: usize,
-    /// The most attempts in a row to resume a stream, without an event between them.
+    /// The maximum number of consecutive attempts to resume a stream without an event in between.
     pub max_resumes: u32,
-    /// The pause before a request goes to an upstream that has failed it before.
+    /// The pause before a request goes to an upstream that it has already tried.
     pub backoff: Millis,
-    /// When a caller whose request found no upstream is told to come back.
+    /// The retry time that a caller is given when its request failed or found no upstream.
     pub retry_after: Millis,
-    /// How sure admission has to be.
+    /// The options of admission.
     pub admission: AdmissionOptions,
 }
 
@@ -44,9 +44,9 @@
     }
 }
 
-/// `Sending` is one way to send an attempt and to receive its answer.
+/// `Sending` sends attempts and receives their answers, either whole or streamed.
 pub(super) trait Sending {
-    /// What an upstream answers.
+    /// The answer of an upstream.
     type Answer: Send;
 
     /// Sends the attempt.
@@ -55,12 +55,12 @@
     /// Returns the status of an answer.
     fn status(answer: &Self::Answer) -> StatusCode;
 
-    /// Returns an answer that came whole before the attempt was sent, from the engine that was to
-    /// read its prompt.
+    /// Converts a whole answer that the prefill engine gave before the attempt reached the decode
+    /// engine.
     fn whole(answer: WholeAnswer) -> Self::Answer;
 }
 
-/// `Answered` is an upstream's answer with the attempt that got it.
+/// `Answered` is an upstream's answer together with its attempt.
 pub(super) struct Answered<A, U: Upstreams> {
     /// The answer.
     pub answer: A,
@@ -68,7 +68,7 @@
     pub running: Running<U>,
 }
 
-/// `Proxy` has requests answered.
+/// `Proxy` runs requests at upstreams and returns their answers.
 #[derive(Debug)]
 pub struct Proxy<C, U> {
     pub(super) clock: C,
@@ -77,12 +77,12 @@
 }
 
 impl<C: Clock, U: Upstreams> Proxy<C, U> {
-    /// Makes a proxy over the given upstreams.
+    /// Creates a proxy that sends attempts through `upstreams`.
     pub fn new(clock: C, upstreams: U, options: ProxyOptions) -> Self {
         Self { clock, upstreams, options }
     }
 
-    /// Returns the time left to a request.
+    /// Returns the time until the request's deadline.
     pub(super) fn time_left(&self, req: &ProxyRequest) -> Millis {
         req.deadline - self.clock.now()
     }
@@ -100,11 +100,11 @@
             if self.time_left(req) == Millis::ZERO {
                 return Err(self.deadline_exceeded(progress.verdict));
             }
-            let Some(placed) = self.hold(req, &mut progress, rng).await? else {
+            let Some(placed) = self.place(req, &mut progress, rng).await? else {
                 return Err(self.no_upstream(progress.verdict));
             };
 
-            // Every attempt has an id of its own, so that answers can't be mixed up.
+            // Each attempt has its own id, so that answers can't be mixed up.
             let id = AttemptId::random(rng);
             let running = Running::new(self.upstreams.clone(), id, placed.held, req.is_chat());
             progress.attempts += 1;
@@ -126,7 +126,8 @@
                     if !is_failure {
                         req.service.budget.record_success();
                     }
-                    // An upstream's own error may be repeated elsewhere, but is an answer too.
+                    // A server error may be retried at another upstream; if it can't be, it is
+                    // itself the answer.
                     let verdict = progress.verdict.max(Verdict::MayHaveRun);
                     if !is_failure || !self.may_retry(req, verdict, progress.attempts) {
                         return Ok(Answered { answer, running });
@@ -140,33 +141,33 @@
                         running.ended();
                     }
                     // A refusal shows that the upstream is alive.
-                    let is_well = matches!(err, Error::Refused { .. } | Error::TooLarge { .. });
-                    self.record(&running, is_well);
+                    let is_healthy = matches!(err, Error::Refused { .. } | Error::TooLarge { .. });
+                    self.record(&running, is_healthy);
                     progress.verdict = progress.verdict.max(err.verdict());
                     Some(err)
                 }
             };
 
-            // A failed status has passed the check for a retry already, which takes from the budget.
+            // A server error has already passed `may_retry`, which takes from the retry budget.
             if let Some(err) = failure {
                 log_failed(req, &running, &err);
-                // What is too large once is too large from any upstream.
+                // An answer that is too large would be too large from any upstream.
                 let is_final = matches!(err, Error::TooLarge { .. });
                 if is_final || !self.may_retry(req, progress.verdict, progress.attempts) {
-                    return Err(self.give_up(req, &err, progress.verdict));
+                    return Err(self.final_failure(req, &err, progress.verdict));
                 }
             }
             req.service.metrics.retries.inc();
         }
     }
 
-    /// Counts a success or a failure of an upstream, for its ejection.
-    pub(super) fn record(&self, running: &Running<U>, is_well: bool) {
+    /// Records a success or a failure of the upstream, from which its ejection is decided.
+    pub(super) fn record(&self, running: &Running<U>, is_healthy: bool) {
         let (ejection, now) = (running.upstream().ejection(), self.clock.now());
-        if is_well { ejection.record_success(now) } else { ejection.record_failure(now) }
+        if is_healthy { ejection.record_success(now) } else { ejection.record_failure(now) }
     }
 
-    /// Makes what is sent to an upstream in the attempt of the given number, the first being 1.
+    /// Creates the attempt to be sent to an upstream. `number` counts the request's attempts from 1.
     pub(super) fn attempt(
         &self,
         req: &ProxyRequest,
@@ -179,8 +180,8 @@
         headers.insert(PRIORITY_HEADER, HeaderValue::from(u16::from(req.priority)));
         headers.insert(TIME_LEFT_HEADER, HeaderValue::from(time_left.0));
 
-        // A first attempt may find an idle connection that has gone silent. A retry must not: it
-        // would wait as long again and be as lost.
+        // A pooled connection may be dead without either side having closed it. The first attempt
+        // accepts this risk; a retry uses a new connection, or it could time out in the same way.
         let connection = if number <= 1 { Connection::Pooled } else { Connection::New };
         Attempt {
             id,
@@ -194,17 +195,17 @@
         }
     }
 
-    /// Returns the bounds of an attempt that has `time_left`.
+    /// Returns the limits on time and size of an attempt that has `time_left`.
     pub(super) fn bounds(&self, req: &ProxyRequest, time_left: Millis) -> Bounds {
         let spec = &req.service.spec;
-        // An answer that stops half-way must be given up early enough for another attempt, if there
-        // can be one.
-        let patient = spec.first_byte_ms.max(Millis(time_left.0 / 2));
-        let whole = if req.idempotent { patient } else { time_left };
-        // The head of a whole completion comes only when all of its output has been generated,
-        // which the declared time to the first byte can't cover.
+        // If the request can be retried, an answer that stops halfway must be aborted early enough
+        // for another attempt.
+        let retryable = spec.first_byte_ms.max(Millis(time_left.0 / 2));
+        let whole = if req.idempotent { retryable } else { time_left };
+        // The head of a non-streamed completion arrives only after all of its output has been
+        // generated, which the declared time to the first byte does not cover.
         let first_byte = match req.kind {
-            RequestKind::ChatWhole => patient,
+            RequestKind::ChatWhole => retryable,
             RequestKind::ChatStreamed | RequestKind::Plain => spec.first_byte_ms,
         };
         Bounds {
@@ -214,7 +215,7 @@
         }
     }
 
-    /// Returns whether the request may be sent once more, and takes the retry from the budget.
+    /// Returns whether the request may be sent again; if so, takes the retry from the budget.
     fn may_retry(&self, req: &ProxyRequest, verdict: Verdict, attempts: usize) -> bool {
         verdict.allows_retry(req.idempotent)
             && attempts < self.options.max_attempts
@@ -222,7 +223,7 @@
             && req.service.budget.try_take()
     }
 
-    fn give_up(&self, req: &ProxyRequest, err: &Error, verdict: Verdict) -> Failure {
+    fn final_failure(&self, req: &ProxyRequest, err: &Error, verdict: Verdict) -> Failure {
         if self.time_left(req) == Millis::ZERO {
             return self.deadline_exceeded(verdict);
         }
@@ -236,7 +237,7 @@
     }
 
     fn no_upstream(&self, verdict: Verdict) -> Failure {
-        let failure = Failure::not_run(Code::NoUpstream, "no upstream of the service takes work");
+        let failure = Failure::not_run(Code::NoUpstream, "no upstream of the service accepts work");
         Failure { verdict, ..failure }.retry_after(self.options.retry_after)
     }
 }
--- a/crates/anvilhook-daemon/src/proxy/cancels.rs
+++ b/crates/anvilhook-daemon/src/proxy/cancels.rs
@@ -1,4 +1,5 @@
-//! What must happen when a request ends, also when its task is dropped half-way.
+//! Guards that release and cancel an attempt when its request ends, including when the request's
+//! task is dropped halfway.
 
 use std::sync::Arc;
 use std::sync::atomic::{Ordering, fence};
@@ -8,7 +9,7 @@
 use anvilhook_core::units::Millis;
 use anvilhook_engine::Upstreams;
 
-/// `Held` counts a request in at an upstream until it is dropped.
+/// `Held` counts a request as in flight at an upstream until it is dropped.
 #[derive(Debug)]
 pub struct Held {
     upstream: Arc<UpstreamState>,
@@ -16,12 +17,12 @@
 }
 
 impl Held {
-    /// Counts a request in, unless the upstream takes no work.
+    /// Counts a request as in flight, or returns `None` if the upstream accepts no work.
     ///
-    /// A drain marks the upstream first and then reads the count. If a request looked for the mark
-    /// before it was counted, both could miss each other: the drain would see nothing in flight and
-    /// the request would go to an engine that is being changed. So the count comes first here, and
-    /// the fence keeps the two from being reordered; `in_flight_at` has the other one.
+    /// A drain marks the upstream first and then reads the count. If a request checked the mark
+    /// before it was counted, the drain could see nothing in flight while the request still went to
+    /// an engine that is being changed. So the request is counted first, and the fence prevents the
+    /// two steps from being reordered; `in_flight_at` has the fence of the other side.
     pub fn try_new(upstream: &Arc<UpstreamState>, work: Work, now: Millis) -> Option<Self> {
         upstream.begin_at(work, now);
         let held = Self { upstream: Arc::clone(upstream), work };
@@ -43,17 +44,17 @@
 
 /// Returns how many requests of this instance are in flight at an upstream.
 ///
-/// Asked after the upstream was marked as leaving, zero means that none will begin: a request that
-/// is counted in later sees the mark and goes elsewhere.
+/// If the upstream was marked as leaving before the call, zero means that no further request will
+/// begin there: a request that is counted later sees the mark and goes elsewhere.
 pub fn in_flight_at(upstream: &UpstreamState) -> u64 {
     fence(Ordering::SeqCst);
     upstream.open_requests()
 }
 
-/// `Running` is an attempt that may be running at an engine. Dropping it cancels the attempt there.
+/// `Running` is an attempt that may be running at an upstream. Dropping it cancels the attempt there.
 ///
-/// A caller that goes away drops the task that serves it, at any await. Without the cancel the
-/// engine would generate an answer that nobody reads.
+/// When a caller disconnects, the task that serves it is dropped at any await. Without the cancel,
+/// the engine would go on generating an answer that no caller reads.
 #[derive(Debug)]
 pub struct Running<U: Upstreams> {
     upstreams: U,
@@ -63,7 +64,7 @@
 }
 
 impl<U: Upstreams> Running<U> {
-    /// Starts an attempt. Only `cancels` those that an engine can cancel.
+    /// Creates the guard of an attempt. `cancels` is whether the upstream can cancel attempts.
     pub fn new(upstreams: U, attempt: AttemptId, held: Held, cancels: bool) -> Self {
         Self { upstreams, attempt, held: Some(held), cancels }
     }
@@ -79,7 +80,7 @@
         held.upstream()
     }
 
-    /// Says that the attempt has ended at the upstream, so that nothing is left to cancel.
+    /// Records that the attempt has ended at the upstream, so that there is nothing to cancel.
     pub fn ended(&mut self) {
         self.cancels = false;
     }
@@ -93,12 +94,12 @@
             return;
         }
 
-        // The attempt stays counted in until the engine has heard of the cancel.
+        // The attempt counts as in flight until the engine has answered the cancel.
         let (upstreams, attempt) = (self.upstreams.clone(), self.attempt);
         runtime.spawn(async move {
             let engine = held.upstream();
             if let Err(err) = upstreams.cancel(engine.address(), attempt).await {
-                log::debug!("attempt {attempt} not cancelled at {}: {err}", engine.name());
+                log::debug!("cancelling attempt {attempt} at {} failed: {err}", engine.name());
             }
         });
     }
--- a/crates/anvilhook-daemon/src/proxy/choices.rs
+++ b/crates/anvilhook-daemon/src/proxy/choices.rs
@@ -1,4 +1,5 @@
-//! Choosing where a request runs, counting it in there, and refusing what can't be answered in time.
+//! Chooses the upstream of a request, counts the request as in flight there, and refuses requests
+//! that can't be answered in time.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::admission::{Admission, decide};
@@ -13,32 +14,32 @@
 use super::failures::{Code, Failure};
 use super::requests::ProxyRequest;
 
-/// The length of a usual answer, by which admission judges.
+/// The usual output length, which admission assumes for requests that bound their output.
 const USUAL_OUTPUT: Tokens = Tokens(256);
 
-/// `Progress` is what the attempts so far have come to.
+/// `Progress` is the state of a request over its attempts so far.
 pub(super) struct Progress {
-    /// The upstreams that have been tried.
+    /// The upstreams that have been tried since the last backoff.
     pub tried: Vec<UpstreamName>,
     /// The number of attempts.
     pub attempts: usize,
-    /// The greatest of their verdicts.
+    /// The greatest verdict of these attempts.
     pub verdict: Verdict,
 }
 
-/// `Placed` is a request that is counted in where its first part runs.
+/// `Placed` is a request that is counted as in flight at the upstream of its first part.
 pub(super) struct Placed {
-    /// What counts it in.
+    /// Counts the request as in flight until dropped.
     pub held: Held,
-    /// The part: the whole request, or the prompt if another engine is to generate.
+    /// The first part: the whole request, or only the prefill if another engine generates.
     pub phase: Phase,
 }
 
-/// `Choice` is where a request could run.
+/// `Choice` is a possible placement of a request.
 struct Choice<'a> {
     first: Candidate<'a>,
     phase: Phase,
-    /// What all of its parts are believed to take.
+    /// The estimated time over all parts of the request.
     estimate: Estimate,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl ProxyRequest {
-    /// Returns what the choice of an upstream needs to know.
+    /// Returns the properties of the request that routing depends on.
     pub(super) fn route(&self) -> RouteRequest<'_> {
         RouteRequest {
             work: self.work,
@@ -67,33 +68,33 @@
         }
     }
 
-    /// Returns whether one engine can read the prompt and another generate. Without output to
-    /// generate there is nothing to split.
+    /// Returns whether prefill and decode can run on different engines. A request without output
+    /// has no decode part, so it can't be split.
     fn can_split(&self) -> bool {
         self.is_chat() && self.work.output.0 > 0
     }
 }
 
 impl<C: Clock, U: Upstreams> Proxy<C, U> {
-    /// Chooses where the request runs and counts it in there: at an upstream that has not been
-    /// tried if there is one, else at any, after a pause.
-    pub(super) async fn hold(
+    /// Chooses an upstream and counts the request as in flight there. Upstreams that have not been
+    /// tried yet are preferred; if there are none, any upstream is chosen after a backoff.
+    pub(super) async fn place(
         &self,
         req: &ProxyRequest,
         progress: &mut Progress,
         rng: &mut ChaCha8Rng,
     ) -> Result<Option<Placed>, Failure> {
-        let placed = self.hold_untried(req, progress, rng)?;
+        let placed = self.place_untried(req, progress, rng)?;
         if placed.is_some() || progress.tried.is_empty() {
             return Ok(placed);
         }
         progress.tried.clear();
         let pause = self.options.backoff.min(self.time_left(req));
         tokio::time::sleep(pause.as_duration()).await;
-        self.hold_untried(req, progress, rng)
+        self.place_untried(req, progress, rng)
     }
 
-    fn hold_untried(
+    fn place_untried(
         &self,
         req: &ProxyRequest,
         progress: &Progress,
@@ -101,19 +102,19 @@
     ) -> Result<Option<Placed>, Failure> {
         let route = req.route();
         let table = &req.service.table;
-        let mut shut_out = progress.tried.clone();
+        let mut excluded = progress.tried.clone();
         loop {
             let now = self.clock.now();
             let placement = match req.can_split() {
-                true => table.place(&route, &shut_out, now, rng),
+                true => table.place(&route, &excluded, now, rng),
                 false => {
-                    let whole = table.choose_for(Phase::Whole, &route, &shut_out, now, rng);
+                    let whole = table.choose_for(Phase::Whole, &route, &excluded, now, rng);
                     whole.map(Placement::Whole)
                 }
             };
             let Some(choice) = placement.map(Choice::from) else { return Ok(None) };
             if progress.attempts == 0 {
-                if shut_out.is_empty() {
+                if excluded.is_empty() {
                     req.service.meter.record(req.work, choice.first.uncached);
                 }
                 self.admit(req, &choice, now)?;
@@ -123,15 +124,15 @@
             if let Some(held) = Held::try_new(first.upstream, work, now) {
                 return Ok(Some(Placed { held, phase }));
             }
-            // The upstream began to drain between the choice and the count.
-            shut_out.push(first.upstream.name().clone());
+            // The upstream began to drain after it was chosen and before the request was counted.
+            excluded.push(first.upstream.name().clone());
         }
     }
 
-    /// Refuses a request that its best upstream is not believed to answer in time: it would only
-    /// take the time of those that can be.
+    /// Refuses a request that even its best upstream is not expected to answer in time: it would
+    /// only take capacity from requests that can still meet their deadlines.
     fn admit(&self, req: &ProxyRequest, choice: &Choice<'_>, now: Millis) -> Result<(), Failure> {
-        // Without a report there is nothing to believe.
+        // Without a load report there is no basis for an estimate.
         if !choice.first.upstream.has_report() {
             return Ok(());
         }
@@ -147,8 +148,9 @@
     }
 }
 
-/// Returns the time that an answer is likely to take. A bound on the output tells how long it may
-/// become, not how long it will: an answer that would be short must not be kept out by it.
+/// Returns the expected time of an answer. `max_tokens` is only an upper bound on the output, so
+/// the usual output length is assumed where it is shorter: otherwise a large bound would have a
+/// request refused whose answer turns out short.
 fn likely_time(req: &ProxyRequest, estimate: &Estimate) -> Millis {
     if !req.bounds_output {
         return estimate.first_token();
--- a/crates/anvilhook-daemon/src/proxy/failures.rs
+++ b/crates/anvilhook-daemon/src/proxy/failures.rs
@@ -1,4 +1,4 @@
-//! Why a request was not answered: what its caller is told.
+//! The failures of requests, as they are reported to callers.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 
 macro_rules! codes {
     ($($(#[$doc:meta])* $name:ident = $text:literal, $status:ident;)*) => {
-        /// `Code` says why a request was not answered. The texts are part of the callers' interface.
+        /// `Code` is the reason why a request failed. The texts are part of the callers' interface.
         #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
         pub enum Code {
             $($(#[$doc])* $name,)*
@@ -38,76 +38,76 @@
 }
 
 codes! {
-    /// A header or the body can't be understood.
+    /// A header or the body is malformed.
     BadRequest = "bad-request", BAD_REQUEST;
     /// The credential is missing or unknown.
     UnknownCredential = "unknown-credential", UNAUTHORIZED;
-    /// No service has the name, or answers for the model.
+    /// No service has the requested name or serves the requested model.
     UnknownService = "unknown-service", NOT_FOUND;
-    /// The service offers no such call.
+    /// The path does not exist, or the service declares no such call.
     UnknownCall = "unknown-call", NOT_FOUND;
-    /// The headers are larger than the instance takes.
+    /// The headers are larger than the instance accepts.
     HeadersTooLarge = "headers-too-large", REQUEST_HEADER_FIELDS_TOO_LARGE;
-    /// The body is larger than the service takes.
+    /// The body is larger than the service accepts.
     BodyTooLarge = "body-too-large", PAYLOAD_TOO_LARGE;
-    /// The instance has as many open requests as it takes.
+    /// The instance has reached its limit of open requests.
     TooManyOpen = "too-many-open-requests", SERVICE_UNAVAILABLE;
     /// The account has reached its limit.
     AccountLimit = "account-limit", TOO_MANY_REQUESTS;
-    /// The deadline can't be met, so the request was not begun.
+    /// The deadline can't be met, so the request was not started.
     DeadlineUnreachable = "deadline-unreachable", SERVICE_UNAVAILABLE;
     /// The instance is stopping.
     Draining = "draining", SERVICE_UNAVAILABLE;
-    /// No upstream of the service takes work.
+    /// No upstream of the service accepts work.
     NoUpstream = "no-upstream", SERVICE_UNAVAILABLE;
-    /// The upstreams that were asked refused.
+    /// The upstreams that the request was sent to refused it.
     UpstreamRefused = "upstream-refused", SERVICE_UNAVAILABLE;
     /// No connection to an upstream could be made.
     UpstreamUnreachable = "upstream-unreachable", BAD_GATEWAY;
-    /// An upstream failed after it was handed the request.
+    /// An upstream failed after it had received the request.
     UpstreamFailed = "upstream-failed", BAD_GATEWAY;
-    /// An upstream took longer than the service declares.
+    /// An upstream took longer than the service's declared limits.
     UpstreamTimeout = "upstream-timeout", GATEWAY_TIMEOUT;
     /// The deadline passed.
     DeadlineExceeded = "deadline-exceeded", GATEWAY_TIMEOUT;
     /// The answer is larger than the service allows.
     AnswerTooLarge = "answer-too-large", BAD_GATEWAY;
-    /// The idempotency key was used before with another request.
+    /// The idempotency key was already used for a different request.
     KeyReused = "key-reused", UNPROCESSABLE_ENTITY;
-    /// A request with the idempotency key is being answered, or its outcome is not known.
+    /// An earlier request with the idempotency key is still running, or its outcome is unknown.
     KeyInFlight = "key-in-flight", CONFLICT;
-    /// The request with the idempotency key ran, and its answer is not kept.
+    /// The request with the idempotency key ran, but its answer is not stored.
     AnswerNotKept = "answer-not-kept", CONFLICT;
-    /// The idempotency key can't be claimed now.
+    /// The idempotency key can't be claimed at the moment.
     ClaimsUnavailable = "claims-unavailable", SERVICE_UNAVAILABLE;
 }
 
-/// `Failure` is the final word on a request that was not answered.
+/// `Failure` is the final outcome of a request that was not answered.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Failure {
-    /// Why.
+    /// The reason.
     pub code: Code,
     /// Whether the request may have run, over all of its attempts.
     pub verdict: Verdict,
-    /// Details for people.
+    /// Human-readable details.
     pub message: String,
-    /// When it is worth asking again.
+    /// How long the caller should wait before it retries.
     pub retry_after: Option<Millis>,
 }
 
 impl Failure {
-    /// Returns the failure of a request that was not begun.
+    /// Returns the failure of a request that was not started.
     pub fn not_run(code: Code, message: impl fmt::Display) -> Self {
         Self { code, verdict: Verdict::NotRun, message: message.to_string(), retry_after: None }
     }
 
-    /// Adds when it is worth asking again.
+    /// Sets how long the caller should wait before it retries.
     pub fn retry_after(mut self, after: Millis) -> Self {
         self.retry_after = Some(after);
         self
     }
 
-    /// Returns the failure of a request whose last attempt failed so.
+    /// Returns the failure of a request whose last attempt failed with `err`.
     pub fn of_attempt(err: &Error, verdict: Verdict) -> Self {
         let code = match err {
             Error::Refused { .. } => Code::UpstreamRefused,
--- a/crates/anvilhook-daemon/src/proxy/mod.rs
+++ b/crates/anvilhook-daemon/src/proxy/mod.rs
@@ -1,7 +1,7 @@
-//! Having a request answered by upstreams: attempts, retries, streams and their resumption.
+//! Runs a request at upstreams: attempts, retries, streams and their resumption.
 //!
-//! The verdict on a request is the greatest of its attempts' verdicts, and each retry is allowed by
-//! the verdict so far, the deadline and the service's retry budget.
+//! The verdict on a request is the greatest of its attempts' verdicts. A retry is sent only if the
+//! verdict so far, the deadline and the service's retry budget all allow it.
 
 mod attempts;
 mod cancels;
--- a/crates/anvilhook-daemon/src/proxy/requests.rs
+++ b/crates/anvilhook-daemon/src/proxy/requests.rs
@@ -12,12 +12,12 @@
 
 use crate::front::Service;
 
-/// `RequestKind` tells requests apart by what an answer to them looks like.
+/// `RequestKind` is the form of answer that a request asks for.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum RequestKind {
-    /// A chat completion that is answered whole.
+    /// A chat completion with a single, non-streamed answer.
     ChatWhole,
-    /// A chat completion that is answered by a stream of events.
+    /// A chat completion whose answer is a stream of events.
     ChatStreamed,
     /// A call of a plain service.
     Plain,
@@ -26,17 +26,17 @@
 /// `ProxyRequest` is a caller's request, checked and ready to be sent.
 #[derive(Clone, Debug)]
 pub struct ProxyRequest {
-    /// Its id.
+    /// The request's id.
     pub id: RequestId,
     /// The service that answers it.
     pub service: Arc<Service>,
-    /// What kind of answer it asks for.
+    /// The form of answer that it asks for.
     pub kind: RequestKind,
-    /// Whether it may be repeated without harm.
+    /// Whether running it more than once is safe.
     pub idempotent: bool,
-    /// The method at the upstream.
+    /// The HTTP method sent to the upstream.
     pub method: Method,
-    /// The path and query at the upstream.
+    /// The path and query sent to the upstream.
     pub path: String,
     /// The headers for the upstream.
     pub headers: HeaderMap,
@@ -44,20 +44,21 @@
     pub body: Bytes,
     /// When it arrived.
     pub arrived_at: Millis,
-    /// When its answer must be whole.
+    /// When its answer must be complete.
     pub deadline: Millis,
-    /// Its priority; the smaller goes first.
+    /// Its priority; smaller values go first.
     pub priority: u8,
-    /// What it asks of an engine.
+    /// The estimated work for an engine.
     pub work: Work,
-    /// Whether `work` tells how long the output will be at most, or only guesses.
+    /// Whether the output length in `work` is an upper bound set by the caller, not a default.
     pub bounds_output: bool,
-    /// The blocks of its prompt.
+    /// The prefix hashes of its prompt's blocks.
     pub prefix: Vec<PrefixHash>,
 }
 
 impl ProxyRequest {
-    /// Returns whether a model engine answers, which can cancel and resume.
+    /// Returns whether a model engine answers the request. Engines can cancel and resume attempts;
+    /// plain upstreams can't.
     pub fn is_chat(&self) -> bool {
         self.kind != RequestKind::Plain
     }
--- a/crates/anvilhook-daemon/src/proxy/rngs.rs
+++ b/crates/anvilhook-daemon/src/proxy/rngs.rs
@@ -1,14 +1,14 @@
-//! A random generator for each request, without a shared lock.
+//! Provides each request with its own random generator, without a shared lock.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// `RequestRngs` hands out generators that share a seed and differ in their stream.
+/// `RequestRngs` creates random generators that share a seed and differ in their stream.
 ///
-/// The ids of requests and attempts are drawn from them, so in production the seed must come from
-/// the operating system: two instances with one seed would give the same ids.
+/// Request and attempt ids are drawn from them, so in production the seed must come from the
+/// operating system: two instances with the same seed would generate the same ids.
 #[derive(Debug)]
 pub struct RequestRngs {
     seed: [u8; 32],
@@ -16,12 +16,12 @@
 }
 
 impl RequestRngs {
-    /// Starts from a seed.
+    /// Creates a source of generators with the given seed.
     pub fn new(seed: [u8; 32]) -> Self {
         Self { seed, next_stream: AtomicU64::new(0) }
     }
 
-    /// Returns the next generator.
+    /// Returns a generator with a stream of its own.
     ///
     /// ```
     /// use anvilhook_daemon::proxy::RequestRngs;
--- a/crates/anvilhook-daemon/src/proxy/streams.rs
+++ b/crates/anvilhook-daemon/src/proxy/streams.rs
@@ -1,4 +1,5 @@
-//! Streamed answers: resumed where they break, each event handed to the caller once and in order.
+//! Streamed answers. A broken stream is resumed, and each event is delivered to the caller exactly
+//! once and in order.
 
 use std::sync::Arc;
 
@@ -17,28 +18,28 @@
 use super::failures::Failure;
 use super::requests::ProxyRequest;
 
-/// How many events may wait for a slow caller. Beyond it the engine's connection is not read, so
-/// that a slow caller can't fill the instance's memory.
-const EVENTS_AHEAD: usize = 16;
+/// How many events are buffered for a slow caller. When the buffer is full, the engine's connection
+/// is not read, so that a slow caller can't fill the instance's memory.
+const MAX_BUFFERED_EVENTS: usize = 16;
 
-/// How long a stream's last word is offered to a caller that has stopped reading.
-const LAST_EVENT_PATIENCE: Millis = Millis(1_000);
+/// How long a failed stream waits for the caller to accept the error event.
+const ERROR_EVENT_TIMEOUT: Millis = Millis(1_000);
 
-/// `Started` is a streamed answer whose first step has come.
+/// `Started` is a streamed answer whose first item has arrived.
 pub(super) enum Started<S> {
     /// Events follow.
     Stream {
-        /// The first step.
+        /// The first item.
         first: StreamItem,
-        /// The further ones.
+        /// The source of the following items.
         events: S,
     },
-    /// The upstream answered whole instead.
+    /// The upstream sent a non-streamed answer instead.
     Whole(WholeAnswer),
 }
 
-/// `SendStreamed` sends attempts whose answers are streams, and waits for the first event: until it
-/// has gone to the caller, another engine may answer instead.
+/// `SendStreamed` sends attempts whose answers are streams, and waits for the first event: until
+/// that is delivered to the caller, the request can be retried at another engine.
 struct SendStreamed<'a, C, U> {
     proxy: &'a Proxy<C, U>,
     req: &'a ProxyRequest,
@@ -53,7 +54,8 @@
             Opened::Stream(events) => events,
             Opened::Whole(answer) => return Ok(Started::Whole(answer)),
         };
-        // The declared bound is on the first event; the head has used up a part of it.
+        // The declared limit covers the time up to the first event, and the wait for the head has
+        // used a part of it.
         let spent = self.proxy.clock.now() - sent_at;
         let first = events.next(attempt.bounds.first_byte - spent).await?;
         Ok(Started::Stream { first, events })
@@ -71,15 +73,16 @@
     }
 }
 
-/// `StreamStart` is how a streamed answer begins for the caller.
+/// `StreamStart` is the beginning of an answer to a request for a stream.
 pub enum StreamStart<C: Clock, U: Upstreams> {
     /// Events follow.
     Stream(CallerStream<C, U>),
-    /// The upstream answered whole instead, for instance that the request is malformed.
+    /// The upstream sent a non-streamed answer instead, for example because the request is
+    /// malformed.
     Whole(WholeAnswer),
 }
 
-/// `CallerStream` hands the events of a stream to its caller.
+/// `CallerStream` delivers the events of a stream to its caller.
 pub struct CallerStream<C: Clock, U: Upstreams> {
     proxy: Arc<Proxy<C, U>>,
     req: Arc<ProxyRequest>,
@@ -93,16 +96,17 @@
 /// `StreamEnd` is how a stream ended.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum StreamEnd {
-    /// The caller has the whole answer.
+    /// The caller received the complete answer.
     Whole,
-    /// The caller went away.
+    /// The caller disconnected.
     CallerGone,
-    /// The answer could not be brought to its end, and the caller was told so.
+    /// The answer could not be completed. Unless the caller stopped reading, it was sent an error
+    /// event.
     Failed(Failure),
 }
 
 impl<C: Clock, U: Upstreams> Proxy<C, U> {
-    /// Has a request answered by a stream, up to and including its first event.
+    /// Runs a request whose answer is a stream, and returns when its first event has arrived.
     ///
     /// # Errors
     ///
@@ -135,16 +139,16 @@
 impl<C: Clock, U: Upstreams> CallerStream<C, U> {
     /// Returns a channel for the caller's events.
     pub fn channel() -> (mpsc::Sender<Event>, mpsc::Receiver<Event>) {
-        mpsc::channel(EVENTS_AHEAD)
+        mpsc::channel(MAX_BUFFERED_EVENTS)
     }
 
-    /// Hands on all events, resuming the stream where it breaks, until it is whole, can't be
-    /// brought to its end, or the caller has gone.
+    /// Delivers the events to the caller and resumes the stream when it breaks, until it is
+    /// complete, has failed, or the caller has disconnected.
     pub async fn pump(mut self, tx: mpsc::Sender<Event>) -> StreamEnd {
         loop {
             let item = tokio::select! {
                 biased;
-                // The engine's work is cancelled when `running` is dropped.
+                // Dropping `running` cancels the attempt at the engine.
                 () = tx.closed() => return StreamEnd::CallerGone,
                 item = self.next_item() => item,
             };
@@ -156,14 +160,15 @@
                 }
                 Ok(StreamItem::Done) => return self.close(&tx).await,
                 Err(failure) => {
-                    // Without the closing event the caller can tell that the answer isn't whole.
+                    // The closing `[DONE]` event is not sent, so the caller can see that the answer
+                    // is incomplete even if the error event does not reach it.
                     let body = crate::front::failure_body(&failure, self.req.id);
                     let event = Event::new().event("error").data(body);
-                    let _ = hand_over(&tx, event, LAST_EVENT_PATIENCE).await;
+                    let _ = deliver(&tx, event, ERROR_EVENT_TIMEOUT).await;
                     return StreamEnd::Failed(failure);
                 }
             };
-            if let Err(stalled) = hand_over(&tx, event, self.proxy.time_left(&self.req)).await {
+            if let Err(stalled) = deliver(&tx, event, self.proxy.time_left(&self.req)).await {
                 return self.stalled(stalled);
             }
         }
@@ -173,7 +178,7 @@
         self.running.ended();
         self.proxy.record(&self.running, true);
         let event = Event::new().data(DONE);
-        let sent = hand_over(tx, event, self.proxy.time_left(&self.req)).await;
+        let sent = deliver(tx, event, self.proxy.time_left(&self.req)).await;
         if let Some(events) = self.events.take() {
             tokio::spawn(events.finish());
         }
@@ -192,7 +197,7 @@
         }
     }
 
-    /// Returns the next step, over a new connection if the present one fails.
+    /// Returns the next item, and resumes the stream over a new connection if the current one fails.
     async fn next_item(&mut self) -> Result<StreamItem, Failure> {
         if let Some(first) = self.first.take() {
             return Ok(first);
@@ -209,13 +214,13 @@
                     Ok(item) => return Ok(item),
                     Err(err) => err,
                 },
-                // A stream that breaks is rare; without the box its state would lie in every stream.
+                // Resuming is rare; without the box, its future would enlarge every stream's task.
                 None => match Box::pin(self.resume(between)).await {
                     Ok(()) => continue,
                     Err(err) => err,
                 },
             };
-            // Dropping the events closes their connection, which may have gone silent.
+            // Dropping the events closes their connection, which may have stopped responding.
             self.events = None;
             self.proxy.record(&self.running, false);
             resumes += 1;
@@ -230,7 +235,7 @@
     async fn resume(&mut self, between: Millis) -> Result<(), Error> {
         let time_left = self.proxy.time_left(&self.req);
         let mut bounds = self.proxy.bounds(&self.req, time_left);
-        // The engine has begun long ago, so the head comes as soon as an event would.
+        // The engine is already generating, so the head must arrive as fast as an event would.
         bounds.first_byte = bounds.first_byte.min(between);
         bounds.max_answer_bytes = bounds.max_answer_bytes.saturating_sub(self.delivered_bytes);
         let engine = self.running.upstream().address();
@@ -241,36 +246,36 @@
         Ok(())
     }
 
-    /// Returns the failure if it makes no sense to resume once more.
+    /// Returns a failure if the stream must not be resumed again after `err`.
     fn check_resumable(&self, err: &Error, resumes: u32) -> Result<(), Failure> {
         let (id, engine) = (self.req.id, self.running.upstream().name());
         log::info!(
             request:% = id, upstream:% = engine;
             "stream broken after event {}: {err}", self.delivered
         );
-        // A refusal is the engine's own word that it can't go on with the stream, and what is too
-        // large stays so.
+        // After a refusal the engine can't continue the stream, and an answer that is too large
+        // stays too large.
         let is_final = matches!(err, Error::Refused { .. } | Error::TooLarge { .. });
         if is_final || resumes > self.proxy.options.max_resumes {
-            // Events have been delivered, so the engine did run at least a part.
+            // Events have been received, so the engine ran at least a part of the request.
             return Err(Failure::of_attempt(err, Verdict::MayHaveRun));
         }
         Ok(())
     }
 }
 
-/// `Stalled` says why an event could not be handed over.
+/// `Stalled` is the reason why an event could not be delivered.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Stalled {
-    /// The caller went away.
+    /// The caller disconnected.
     Gone,
-    /// The caller stays connected and has not read in time.
+    /// The caller is still connected but has not read in time.
     NotReading,
 }
 
-/// Hands an event over, at most `timeout` long: a caller that stays connected and doesn't read must
-/// not hold an engine's place past its deadline.
-async fn hand_over(tx: &mpsc::Sender<Event>, event: Event, timeout: Millis) -> Result<(), Stalled> {
+/// Delivers an event, waiting at most `timeout`: a caller that stays connected without reading must
+/// not occupy an engine past the deadline.
+async fn deliver(tx: &mpsc::Sender<Event>, event: Event, timeout: Millis) -> Result<(), Stalled> {
     let event = match tx.try_send(event) {
         Ok(()) => return Ok(()),
         Err(TrySendError::Closed(_event)) => return Err(Stalled::Gone),
--- a/crates/anvilhook-daemon/src/proxy/table_claims.rs
+++ b/crates/anvilhook-daemon/src/proxy/table_claims.rs
@@ -1,4 +1,4 @@
-//! Claims in the platform's table.
+//! Stores claims in the platform's table.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::attempts::AttemptId;
@@ -11,7 +11,7 @@
 
 use super::claims::{ClaimRequest, Claimed, Claims, SETTLE_PAUSE, SETTLE_TRIES};
 
-/// Says that an answer is the recorded one of an earlier request.
+/// Marks an answer as the recorded answer of an earlier request.
 const REPLAYED_HEADER: HeaderName = HeaderName::from_static("x-anvilhook-replayed");
 
 /// `TableClaims` makes claims in the platform's table.
@@ -22,21 +22,22 @@
 }
 
 impl<T: Table, C: Clock> TableClaims<T, C> {
-    /// Makes claims by those of an instance. `wall_clock` is for people who read the table.
+    /// Creates claims on top of the store's claims of an instance. `wall_clock` supplies the times
+    /// in the rows, which are only for people who read the table.
     pub fn new(claims: claims::Claims<T, C>, wall_clock: fn() -> WallTime) -> Self {
         Self { claims, wall_clock }
     }
 
-    /// Frees the key of a claim that may stand or not, once the table answers again.
+    /// Releases a claim that may or may not have been written, as soon as the table answers again.
     fn release_later(&self, doubtful: HeldClaim) {
         let claims = self.claims.clone();
         tokio::spawn(async move {
-            for turn in 1..=SETTLE_TRIES {
+            for tries in 1..=SETTLE_TRIES {
                 match claims.release(&doubtful).await {
                     Ok(()) => return,
-                    Err(err) => log::warn!("a claim is in doubt after {turn} tries: {err}"),
+                    Err(err) => log::warn!("claim not released after {tries} tries: {err}"),
                 }
-                tokio::time::sleep(SETTLE_PAUSE.as_duration() * turn).await;
+                tokio::time::sleep(SETTLE_PAUSE.as_duration() * tries).await;
             }
         });
     }
@@ -89,7 +90,7 @@
     }
 }
 
-/// Returns the recorded answer, as far as it was kept.
+/// Returns the recorded answer, or `NotKept` if its body was not stored.
 fn replay(outcome: &StoredOutcome) -> Claimed<HeldClaim> {
     let (Some(body), Ok(status)) = (outcome.body.bytes(), StatusCode::from_u16(outcome.status))
     else {
--- a/crates/anvilhook-daemon/src/proxy/whole.rs
+++ b/crates/anvilhook-daemon/src/proxy/whole.rs
@@ -1,4 +1,4 @@
-//! Whole answers.
+//! Requests whose answers are sent in one piece, not streamed.
 
 use anvilhook_core::units::Clock;
 use anvilhook_engine::{Attempt, Error, Upstreams, WholeAnswer};
@@ -9,7 +9,7 @@
 use super::failures::Failure;
 use super::requests::ProxyRequest;
 
-/// `SendWhole` sends attempts whose answers come whole.
+/// `SendWhole` sends attempts whose answers are not streamed.
 struct SendWhole<'a, U> {
     upstreams: &'a U,
     is_chat: bool,
@@ -36,7 +36,7 @@
 }
 
 impl<C: Clock, U: Upstreams> Proxy<C, U> {
-    /// Has a request answered whole.
+    /// Runs a request and returns its complete answer.
     ///
     /// # Errors
     ///
@@ -53,8 +53,8 @@
     }
 }
 
-/// Checks that a completion names its attempt, as its head did: a body behind another's head would
-/// give a caller what belongs to another.
+/// Checks that the body of a completion contains the attempt's id, as its head did. A body that was
+/// mixed up with another attempt's head would leak one caller's answer to another.
 pub(super) fn check_completion(answer: &WholeAnswer, attempt: &Attempt) -> Result<(), Error> {
     let id = attempt.id.to_string();
     let names_attempt = answer.body.windows(id.len()).any(|window| window == id.as_bytes());
