--- a/crates/anvilhook-daemon/src/front/answers.rs
+++ b/crates/anvilhook-daemon/src/front/answers.rs
@@ -1,4 +1,4 @@
-//! Answers to callers.
+//! Builds the answers to callers.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::attempts::RequestId;
@@ -12,13 +12,13 @@
 use super::headers::{REQUEST_HEADER, VERDICT_HEADER, end_to_end};
 use crate::proxy::Failure;
 
-/// `FailureBody` is the JSON document that a caller gets instead of an answer.
+/// `FailureBody` is the JSON document that a caller receives when its request failed.
 #[derive(Clone, Debug, Serialize)]
 struct FailureBody<'a> {
     error: FailureDetails<'a>,
 }
 
-/// `FailureDetails` is what it says.
+/// `FailureDetails` describes the failure.
 #[derive(Clone, Debug, Serialize)]
 struct FailureDetails<'a> {
     code: &'static str,
@@ -29,7 +29,7 @@
     request: RequestId,
 }
 
-/// Returns the JSON document that tells a caller of a failure.
+/// Returns the JSON document that reports a failure to the caller.
 pub fn failure_body(failure: &Failure, request: RequestId) -> String {
     let error = FailureDetails {
         code: failure.code.as_str(),
@@ -41,7 +41,7 @@
     serde_json::to_string(&FailureBody { error }).unwrap_or_default()
 }
 
-/// Answers a request that failed.
+/// Returns the answer to a request that failed.
 pub fn failed(failure: &Failure, request: RequestId) -> Response<Body> {
     let mut answer = Response::new(Body::from(failure_body(failure, request)));
     *answer.status_mut() = failure.code.status();
@@ -49,30 +49,30 @@
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(VERDICT_HEADER, HeaderValue::from_static(failure.verdict.as_str()));
     if let Some(after) = failure.retry_after {
-        // The header counts whole seconds; rounding down could call the caller back too early.
+        // The header is in whole seconds; rounded down, it could make the caller retry too early.
         headers.insert(RETRY_AFTER, HeaderValue::from(after.0.div_ceil(1_000)));
     }
-    name_request(headers, request);
+    set_request_id(headers, request);
     answer
 }
 
-/// Answers with what an upstream answered.
+/// Returns an upstream's answer as the answer to the caller.
 pub fn answered(answer: WholeAnswer, request: RequestId) -> Response<Body> {
     let mut headers = end_to_end(&answer.headers);
-    // What an upstream answers to a request that it could not serve tells nothing of what it did.
+    // An error status of an upstream does not show whether the request ran.
     if is_error(answer.status) {
         let verdict = Verdict::MayHaveRun.as_str();
         headers.insert(VERDICT_HEADER, HeaderValue::from_static(verdict));
     }
-    name_request(&mut headers, request);
+    set_request_id(&mut headers, request);
     let mut response = Response::new(Body::from(answer.body));
     *response.status_mut() = answer.status;
     *response.headers_mut() = headers;
     response
 }
 
-/// Names the request in an answer.
-pub fn name_request(headers: &mut HeaderMap, request: RequestId) {
+/// Sets the header with the request's id.
+pub fn set_request_id(headers: &mut HeaderMap, request: RequestId) {
     if let Ok(value) = HeaderValue::from_str(&request.to_string()) {
         headers.insert(REQUEST_HEADER, value);
     }
--- a/crates/anvilhook-daemon/src/front/bodies.rs
+++ b/crates/anvilhook-daemon/src/front/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' requests.
+//! Reads and parses the bodies of callers' requests.
 
 use std::borrow::Cow;
 
@@ -15,18 +15,18 @@
 
 use crate::proxy::{Code, Failure};
 
-/// Tokens of output that are expected of a request that doesn't bound them.
+/// The expected output of a request that sets no `max_tokens`.
 const EXPECTED_OUTPUT: Tokens = Tokens(256);
 
-/// The most tokens of output that are expected. Callers that don't care set bounds that no answer
-/// comes near, and an engine would be believed to be busy with it for ever.
+/// The maximum expected output. Many callers set a `max_tokens` far above any real answer; without
+/// this cap, an engine would be assumed to be busy far longer than it is.
 const MAX_EXPECTED_OUTPUT: Tokens = Tokens(2_048);
 
-/// Reads the body of a request, at most `max_bytes` large and `timeout` long.
+/// Reads the body of a request, at most `max_bytes` and within `timeout`.
 ///
 /// # Errors
 ///
-/// A `Failure` if it is larger, slower or cut short. The request has not run.
+/// A `Failure` if the body is too large, too slow or truncated. The request has not run.
 pub async fn read(
     headers: &HeaderMap,
     body: Body,
@@ -43,10 +43,10 @@
         Ok(Ok(whole)) => Ok(whole.to_bytes()),
         Ok(Err(err)) if err.is::<LengthLimitError>() => Err(too_large(max_bytes)),
         Ok(Err(err)) => {
-            Err(Failure::not_run(Code::BadRequest, format!("the body did not come whole: {err}")))
+            Err(Failure::not_run(Code::BadRequest, format!("the body is incomplete: {err}")))
         }
         Err(_elapsed) => {
-            let message = "the body did not come before the deadline";
+            let message = "the body did not arrive before the deadline";
             Err(Failure::not_run(Code::DeadlineExceeded, message))
         }
     }
@@ -65,10 +65,10 @@
     Failure::not_run(Code::BodyTooLarge, format!("the body is larger than {max_bytes} bytes"))
 }
 
-/// `ChatHead` is what the system reads of a chat request.
+/// `ChatHead` holds the fields of a chat request that routing needs.
 #[derive(Debug, Deserialize)]
 pub struct ChatHead<'a> {
-    /// The model or service asked for.
+    /// The requested model or service.
     #[serde(borrow)]
     pub model: Cow<'a, str>,
     /// Whether the answer is streamed.
@@ -80,42 +80,43 @@
 }
 
 impl<'a> ChatHead<'a> {
-    /// Reads a body.
+    /// Parses a body.
     ///
     /// # Errors
     ///
-    /// A `Failure` that says where the body breaks the form.
+    /// A `Failure` that names the place where the body is invalid.
     pub fn try_parse(body: &'a [u8]) -> Result<Self, Failure> {
         serde_json::from_slice(body).map_err(|err| {
-            Failure::not_run(Code::BadRequest, format!("the body is no chat request: {err}"))
+            Failure::not_run(Code::BadRequest, format!("the body is not a chat request: {err}"))
         })
     }
 
-    /// Returns the estimate of what the request asks of an engine, to be done in `time_left`.
+    /// Returns the estimated work of the request, which must be done within `time_left`.
     pub fn work(&self, time_left: Millis) -> Work {
         let output = self.max_tokens.map_or(EXPECTED_OUTPUT, Tokens).min(MAX_EXPECTED_OUTPUT);
         Work::new(prompt_tokens(&self.messages), output, time_left)
     }
 
-    /// Returns whether the request bounds its output.
+    /// Returns whether the request sets `max_tokens`.
     pub fn bounds_output(&self) -> bool {
         self.max_tokens.is_some()
     }
 
-    /// Returns the blocks of the prompt, by which an engine that has read them is found.
+    /// Returns the prefix hashes of the prompt's blocks, by which routing finds engines that have
+    /// them cached.
     pub fn prefix(&self) -> Vec<PrefixHash> {
         prefix_blocks(&self.messages)
     }
 }
 
-/// Returns the body with another model in it.
+/// Returns the body with its model replaced.
 ///
 /// # Errors
 ///
-/// A `Failure` if the body is no chat request.
+/// A `Failure` if the body is not a chat request.
 pub fn with_model(body: &[u8], model: &str) -> Result<Bytes, Failure> {
     let bad =
-        |err| Failure::not_run(Code::BadRequest, format!("the body is no chat request: {err}"));
+        |err| Failure::not_run(Code::BadRequest, format!("the body is not a chat request: {err}"));
     let mut req: ChatRequest = serde_json::from_slice(body).map_err(bad)?;
     req.model = model.to_owned();
     serde_json::to_vec(&req).map(Bytes::from).map_err(bad)
--- a/crates/anvilhook-daemon/src/front/chats.rs
+++ b/crates/anvilhook-daemon/src/front/chats.rs
@@ -1,4 +1,4 @@
-//! Chat completions.
+//! Answers chat completions.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 };
 
 impl<C: Clock, U: Upstreams, K: Claims> Front<C, U, K> {
-    /// Answers a chat completion that has been let in.
+    /// Answers an admitted chat completion.
     pub(super) async fn answer_chat(
         &self,
         arrival: Arrival,
@@ -36,8 +36,7 @@
         body: Body,
     ) -> Result<Response, Refused> {
         let options = &self.inner.options;
-        // The service stands in the body, so until that has been read only the instance's bounds
-        // hold.
+        // The body names the service, so until it has been read only the instance's limits apply.
         let timeout = arrival.caller.deadline.unwrap_or(options.max_deadline);
         let body = bodies::read(&parts.headers, body, options.max_body_bytes, timeout).await?;
         let head = ChatHead::try_parse(&body)?;
@@ -72,12 +71,12 @@
     fn chat_service(&self, model: &str) -> Result<Arc<Service>, Failure> {
         let state = self.inner.state.load();
         state.chat_service(model).cloned().ok_or_else(|| {
-            let message = format!("no service answers for model {model:?}");
+            let message = format!("no service serves model {model:?}");
             Failure::not_run(Code::UnknownService, message)
         })
     }
 
-    /// Answers a request by a stream.
+    /// Answers a request with a stream of events.
     async fn stream(&self, mut arrival: Arrival, req: ProxyRequest) -> Result<Response, Failure> {
         let req = Arc::new(req);
         let start = self.inner.proxy.answer_streamed(&req, &mut arrival.rng).await?;
@@ -86,7 +85,7 @@
             StreamStart::Whole(answer) => {
                 self.count_answered(&req, true);
                 let answer = answers::answered(answer, req.id);
-                return Ok(self.cover(answer, arrival.flight, req.deadline));
+                return Ok(self.track_body(answer, arrival.flight, req.deadline));
             }
         };
         let now = self.inner.clock.now();
@@ -103,7 +102,7 @@
             flight.until_end(ended, req.deadline - front.inner.clock.now()).await;
         });
         let mut answer = Sse::new(Events { rx, _end: end }).into_response();
-        answers::name_request(answer.headers_mut(), id);
+        answers::set_request_id(answer.headers_mut(), id);
         Ok(answer)
     }
 
@@ -112,7 +111,7 @@
             StreamEnd::Whole => self.count_answered(req, false),
             StreamEnd::CallerGone => {
                 req.service.metrics.abandoned.inc();
-                log::info!(request:% = req.id; "the caller went away");
+                log::info!(request:% = req.id; "the caller disconnected");
             }
             StreamEnd::Failed(failure) => {
                 req.service.metrics.failed(failure);
@@ -125,7 +124,8 @@
     }
 }
 
-/// `Events` hands a stream's events to the server, and keeps the request counted in meanwhile.
+/// `Events` passes a stream's events to the server; until it is dropped, the request counts as in
+/// flight.
 struct Events {
     rx: mpsc::Receiver<Event>,
     _end: BodyEnd,
@@ -139,8 +139,8 @@
     }
 }
 
-/// Returns the body as the service's engines expect it: a caller may name the service instead of
-/// the model.
+/// Returns the body with the name of the service's model, since a caller may name the service
+/// instead.
 fn for_engine(body: &Bytes, head: &ChatHead<'_>, service: &Service) -> Result<Bytes, Failure> {
     match &service.spec.backend {
         ServiceBackend::Model { model, .. } if head.model != model.as_str() => {
--- a/crates/anvilhook-daemon/src/front/credentials.rs
+++ b/crates/anvilhook-daemon/src/front/credentials.rs
@@ -1,4 +1,4 @@
-//! Credentials of callers.
+//! Finds the account of a caller's bearer token.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 pub struct TokenDigest([u8; 32]);
 
 impl TokenDigest {
-    /// Digests a token.
+    /// Computes the digest of a token.
     pub fn of(token: &str) -> Self {
         Self(Sha256::digest(token.as_bytes()).into())
     }
 
-    /// Reads a digest of 64 hexadecimal digits, or returns nothing.
+    /// Parses a digest of 64 hexadecimal digits, or returns `None`.
     pub fn from_hex(text: &str) -> Option<Self> {
         if text.len() != 64 || !text.is_ascii() {
             return None;
@@ -38,15 +38,15 @@
 }
 
 impl Credentials {
-    /// Adds a digest that an account may present.
+    /// Adds the digest of a token that belongs to an account.
     pub fn insert(&mut self, digest: TokenDigest, account: Arc<Account>) {
         self.accounts.insert(digest, account);
     }
 
-    /// Returns the account of a token, if it is known.
+    /// Returns the account of a token, if the token is known.
     ///
-    /// The map finds by digest, so the time that it takes tells nothing of a token; the found
-    /// digest is compared in constant time, so that no part of it can be guessed either.
+    /// The lookup is by digest, so its time reveals nothing about known tokens. The digest found is
+    /// compared in constant time, so that it can't be guessed part by part either.
     pub fn find(&self, token: &str) -> Option<&Arc<Account>> {
         let digest = TokenDigest::of(token);
         let (found, account) = self.accounts.get_key_value(&digest)?;
--- a/crates/anvilhook-daemon/src/front/headers.rs
+++ b/crates/anvilhook-daemon/src/front/headers.rs
@@ -1,4 +1,4 @@
-//! The headers that callers send and get. For the callers' reference, see `docs/CALLERS.md`.
+//! The headers that callers send and receive. The callers' reference is `docs/CALLERS.md`.
 
 use anvilhook_core::attempts::RequestId;
 use anvilhook_core::units::Millis;
@@ -10,13 +10,13 @@
 
 use crate::proxy::{Code, Failure};
 
-/// The time that the caller gives its request, in milliseconds.
+/// The time within which the caller needs the answer, in milliseconds.
 pub const DEADLINE_HEADER: &str = "x-anvilhook-deadline-ms";
-/// The priority, smaller first.
+/// The request's priority; smaller values go first.
 pub const PRIORITY_HEADER: &str = "x-anvilhook-priority";
-/// The key by which a request runs at most once.
+/// The idempotency key; requests with the same key run at most once.
 pub const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
-/// The request's id, made if the caller sends none.
+/// The request's id, generated if the caller sends none.
 pub const REQUEST_HEADER: &str = "x-anvilhook-request";
 /// Whether a request that failed may have run.
 pub const VERDICT_HEADER: &str = "x-anvilhook-verdict";
@@ -24,11 +24,11 @@
 /// The longest idempotency key, in bytes.
 const MAX_KEY_BYTES: usize = 200;
 
-/// What the system adds to a header's name and value when it counts the size of headers.
+/// The bytes counted for each header in addition to its name and value.
 const HEADER_OVERHEAD_BYTES: usize = 4;
 
-/// Headers that belong to one connection or to this system, and are passed on by nobody.
-const OWN_HEADERS: [HeaderName; 9] = [
+/// Headers that are never forwarded, because they belong to one connection or to this system.
+const UNFORWARDED_HEADERS: [HeaderName; 9] = [
     AUTHORIZATION,
     CONNECTION,
     CONTENT_LENGTH,
@@ -39,7 +39,7 @@
     TRANSFER_ENCODING,
     UPGRADE,
 ];
-const OWN_HEADER_TEXTS: [&str; 7] = [
+const UNFORWARDED_HEADER_NAMES: [&str; 7] = [
     "keep-alive",
     ATTEMPT_HEADER,
     DEADLINE_HEADER,
@@ -49,26 +49,26 @@
     VERDICT_HEADER,
 ];
 
-/// `CallerHeaders` is what a caller says of its request.
+/// `CallerHeaders` holds the settings that a caller sends in a request's headers.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct CallerHeaders {
-    /// The time that it gives the request.
+    /// The time within which the caller needs the answer.
     pub deadline: Option<Millis>,
     /// The request's priority.
     pub priority: Option<u8>,
-    /// The key by which the request runs at most once.
+    /// The idempotency key.
     pub idempotency_key: Option<String>,
 }
 
 impl CallerHeaders {
-    /// Reads a caller's headers.
+    /// Parses a caller's headers.
     ///
     /// # Errors
     ///
-    /// A `Failure` that names the header and what was expected.
+    /// A `Failure` that names the invalid header and the expected form.
     pub fn try_parse(headers: &HeaderMap, max_deadline: Millis) -> Result<Self, Failure> {
         let deadline =
-            parse(headers, DEADLINE_HEADER, "milliseconds, from 1 to the longest", |ms| {
+            parse(headers, DEADLINE_HEADER, "milliseconds, from 1 to the maximum", |ms| {
                 ms.parse().ok().map(Millis).filter(|ms| *ms > Millis::ZERO && *ms <= max_deadline)
             })?;
         let priority =
@@ -83,11 +83,11 @@
     }
 }
 
-/// Reads the request's id, if the caller sends one.
+/// Parses the request's id, if the caller sends one.
 ///
 /// # Errors
 ///
-/// A `Failure` if it is not an id.
+/// A `Failure` if the header is not a valid id.
 pub fn request_id(headers: &HeaderMap) -> Result<Option<RequestId>, Failure> {
     parse(headers, REQUEST_HEADER, "32 hexadecimal digits", |text| text.parse().ok())
 }
@@ -107,16 +107,16 @@
     headers.iter().map(size).sum()
 }
 
-/// Returns the headers that are passed on between caller and upstream.
+/// Returns the headers that are forwarded between caller and upstream.
 pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
-    // A connection header can name further headers that end with the connection.
+    // The `Connection` header can name further headers that apply only to the connection.
     let named = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
     let named: Vec<&str> = named.flat_map(|list| list.split(',')).map(str::trim).collect();
     let passes = |name: &HeaderName| {
-        !OWN_HEADERS.contains(name)
+        !UNFORWARDED_HEADERS.contains(name)
             && *name != TRAILER
-            && !OWN_HEADER_TEXTS.contains(&name.as_str())
-            && !named.iter().any(|ends| name.as_str().eq_ignore_ascii_case(ends))
+            && !UNFORWARDED_HEADER_NAMES.contains(&name.as_str())
+            && !named.iter().any(|named| name.as_str().eq_ignore_ascii_case(named))
     };
     let passed = headers.iter().filter(|(name, _)| passes(name));
     passed.map(|(name, value)| (name.clone(), value.clone())).collect()
--- a/crates/anvilhook-daemon/src/front/limits.rs
+++ b/crates/anvilhook-daemon/src/front/limits.rs
@@ -1,4 +1,4 @@
-//! Counting open requests, until the last byte of their answers has been handed over.
+//! Counts open requests, until the last byte of their answers has been handed to the server.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -30,7 +30,7 @@
     /// Waits until no request is in flight.
     pub async fn idle(&self) {
         loop {
-            // Whoever waits is registered before the count is read, so that no end is missed.
+            // The waiter is registered before the count is read, so that no notification is missed.
             let notified = self.idle.notified();
             if self.open() == 0 {
                 return;
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Counts a request in, and says whether there were fewer than `max` before it.
+    /// Counts a request as in flight, and returns whether there were fewer than `max` before it.
     pub fn enter(self: &Arc<Self>, max: u64) -> (Flight, bool) {
         let before = self.open.fetch_add(1, Ordering::SeqCst);
         (Flight { flights: Arc::clone(self), account: None }, before < max)
     }
 }
 
-/// `Flight` counts one request in until it is dropped.
+/// `Flight` counts one request as in flight until it is dropped.
 #[derive(Debug)]
 pub struct Flight {
     flights: Arc<Flights>,
@@ -54,7 +54,7 @@
 }
 
 impl Flight {
-    /// Has the account's limiter, which has admitted the request, count it out at the end.
+    /// Records the account whose limiter admitted the request, so that it is released at the end.
     pub fn admitted_by(&mut self, account: Arc<Account>) {
         self.account = Some(account);
     }
@@ -71,17 +71,18 @@
     }
 }
 
-/// Answers up to this size fit into the buffers of the connection, whatever its caller does.
+/// Answers up to this size fit into the connection's buffers, even if the caller does not read.
 const SMALL_ANSWER_BYTES: u64 = 64 * 1024;
 
-/// `BodyEnd` is dropped together with an answer's body, when that has been read or abandoned.
+/// `BodyEnd` signals the end of an answer's body: it is dropped together with the body, when that
+/// has been read or abandoned.
 #[derive(Debug)]
 pub struct BodyEnd {
     _end: oneshot::Sender<Infallible>,
 }
 
 impl BodyEnd {
-    /// Returns the end to be put into a body, and what waits for it.
+    /// Returns a `BodyEnd` to be stored in a body, and a receiver that completes when it is dropped.
     pub fn new() -> (Self, oneshot::Receiver<Infallible>) {
         let (tx, rx) = oneshot::channel();
         (Self { _end: tx }, rx)
@@ -89,41 +90,41 @@
 }
 
 impl Flight {
-    /// Keeps the request counted in until its answer's body ends, at most `time_left` long.
+    /// Counts the request as in flight until its answer's body ends, at most for `time_left`.
     ///
-    /// A caller that stays connected and doesn't read would otherwise hold up a graceful stop for
-    /// ever. After the deadline nobody waits for its answer any more.
+    /// Without this limit, a caller that stays connected without reading would delay a graceful stop
+    /// indefinitely. After the deadline the answer is no longer of use.
     pub async fn until_end(self, end: oneshot::Receiver<Infallible>, time_left: Millis) {
         let _ = tokio::time::timeout(time_left.as_duration(), end).await;
     }
 }
 
-/// `Keeper` is what keeps a request counted in while its answer's body is being read.
-enum Keeper {
-    /// The body itself.
+/// `Retained` keeps a request counted as in flight while its answer's body is being read.
+enum Retained {
+    /// The body itself holds the flight.
     Body { _flight: Flight },
-    /// A task that waits for the body's end.
+    /// A task that waits for the body's end holds the flight.
     Task { _end: BodyEnd },
 }
 
-/// `FlightBody` is an answer's body that keeps its request counted in until it has been read.
+/// `FlightBody` is an answer's body whose request counts as in flight until the body has been read.
 pub struct FlightBody {
     body: Body,
-    _keeper: Keeper,
+    _retained: Retained,
 }
 
 impl FlightBody {
-    /// Covers a body whose caller has `time_left` to read it.
-    pub fn cover(body: Body, flight: Flight, time_left: Millis) -> Body {
+    /// Wraps a body whose caller has `time_left` to read it.
+    pub fn wrap(body: Body, flight: Flight, time_left: Millis) -> Body {
         let size = http_body::Body::size_hint(&body).upper();
-        let keeper = if size.is_some_and(|size| size <= SMALL_ANSWER_BYTES) {
-            Keeper::Body { _flight: flight }
+        let retained = if size.is_some_and(|size| size <= SMALL_ANSWER_BYTES) {
+            Retained::Body { _flight: flight }
         } else {
             let (end, ended) = BodyEnd::new();
             tokio::spawn(flight.until_end(ended, time_left));
-            Keeper::Task { _end: end }
+            Retained::Task { _end: end }
         };
-        Body::from_body(Self { body, _keeper: keeper })
+        Body::from_body(Self { body, _retained: retained })
     }
 }
 
--- a/crates/anvilhook-daemon/src/front/metrics.rs
+++ b/crates/anvilhook-daemon/src/front/metrics.rs
@@ -1,7 +1,7 @@
-//! Metrics of the caller front, kept in atomics.
+//! Metrics of the caller front, stored in atomics.
 //!
-//! The library's own families and histograms take a lock at each observation. Here each service has
-//! its counters in arrays of atomics, and the library only reads them when it is asked to.
+//! The metrics library's families and histograms take a lock at each observation. Here, each service
+//! has its counters in arrays of atomics, which the library reads only when metrics are scraped.
 
 use std::fmt;
 use std::sync::Arc;
@@ -23,12 +23,12 @@
 const BUCKETS_MS: [u64; 14] =
     [1, 2, 5, 10, 25, 50, 100, 250, 500, 1_000, 2_500, 5_000, 15_000, 60_000];
 
-/// The label of requests that no service could be found for.
+/// The service label of requests for which no service was found.
 const NO_SERVICE: &str = "";
 
 const VERDICTS: [Verdict; 3] = [Verdict::NotRun, Verdict::MayHaveRun, Verdict::Ran];
 
-/// `Latencies` is a histogram of times.
+/// `Latencies` is a histogram of latencies.
 #[derive(Debug, Default)]
 pub struct Latencies {
     counts: [AtomicU64; BUCKETS_MS.len() + 1],
@@ -36,7 +36,7 @@
 }
 
 impl Latencies {
-    /// Counts one time.
+    /// Counts one latency.
     pub fn observe(&self, time: Millis) {
         let bucket = BUCKETS_MS.partition_point(|bound| *bound < time.0);
         self.counts[bucket].fetch_add(1, Ordering::Relaxed);
@@ -64,9 +64,9 @@
     pub first_byte: Latencies,
     /// Times from a request's arrival to the end of its answer.
     pub whole: Latencies,
-    /// Streams whose caller went away.
+    /// Streams whose caller disconnected.
     pub abandoned: Counter,
-    /// Attempts after the first.
+    /// Attempts after a request's first.
     pub retries: Counter,
     /// Streams resumed at an engine.
     pub resumes: Counter,
@@ -103,7 +103,7 @@
 }
 
 impl FrontMetrics {
-    /// Makes the metrics and registers them.
+    /// Creates the metrics and registers them.
     pub fn new(registry: &mut Registry) -> Self {
         let unknown = Arc::new(ServiceMetrics::new(NO_SERVICE));
         let services = Arc::new(ArcSwap::from_pointee(vec![Arc::clone(&unknown)]));
@@ -112,7 +112,8 @@
         metrics
     }
 
-    /// Returns the metrics of a service. They outlive its configuration.
+    /// Returns the metrics of a service. They are retained after the service is removed from the
+    /// configuration.
     pub fn service(&self, name: &ServiceName) -> Arc<ServiceMetrics> {
         let known = self.services.load();
         let found = known.iter().find(|metrics| metrics.service == name.as_str());
@@ -128,7 +129,7 @@
         added
     }
 
-    /// Returns the metrics of requests that no service could be found for.
+    /// Returns the metrics of requests for which no service was found.
     pub fn unknown(&self) -> &Arc<ServiceMetrics> {
         &self.unknown
     }
@@ -195,7 +196,7 @@
         for (code, counts) in Code::ALL.iter().zip(&metrics.failed) {
             for (verdict, count) in VERDICTS.iter().zip(counts) {
                 let count = count.load(Ordering::Relaxed);
-                // Most pairs never occur; listing them all would bury the others.
+                // Most pairs never occur, so pairs with a count of zero are left out.
                 if count == 0 {
                     continue;
                 }
--- a/crates/anvilhook-daemon/src/front/mod.rs
+++ b/crates/anvilhook-daemon/src/front/mod.rs
@@ -1,4 +1,4 @@
-//! The front that callers speak to.
+//! The HTTP front for callers: chat completions and calls of plain services.
 
 mod answers;
 mod bodies;
@@ -34,20 +34,20 @@
 
 use crate::proxy::{Claims, Proxy, ProxyOptions, RequestRngs};
 
-/// `FrontOptions` bounds what the front takes from callers.
+/// `FrontOptions` limits what the front accepts from callers.
 #[derive(Clone, Copy, Debug)]
 pub struct FrontOptions {
-    /// The largest headers of a request, in bytes.
+    /// The maximum total size of a request's headers, in bytes.
     pub max_header_bytes: usize,
-    /// The largest body of a request whose service is not known yet, in bytes.
+    /// The maximum size of a request's body while its service is not known yet, in bytes.
     pub max_body_bytes: u64,
-    /// The most requests that are open at this instance.
+    /// The maximum number of open requests at this instance.
     pub max_open_requests: u64,
-    /// The longest time that a caller may give its request.
+    /// The longest deadline that a caller may set.
     pub max_deadline: Millis,
-    /// What is done for one request.
+    /// The options of attempts and retries.
     pub proxy: ProxyOptions,
-    /// How account limits are shared over instances.
+    /// How account limits are divided among instances.
     pub limits: LimitOptions,
 }
 
@@ -64,32 +64,32 @@
     }
 }
 
-/// `FrontParts` is what a front is made of.
+/// `FrontParts` holds the parts that a front is built from.
 #[derive(Debug)]
 pub struct FrontParts<C, U, K> {
     /// The instance's clock.
     pub clock: C,
-    /// Sends attempts.
+    /// Sends attempts to upstreams.
     pub upstreams: U,
-    /// Makes claims.
+    /// Claims idempotency keys.
     pub claims: K,
-    /// Says when new requests are refused.
+    /// Signals the shutdown phase, after which new requests are refused.
     pub shutdown: Shutdown,
-    /// Bounds.
+    /// The limits and options.
     pub options: FrontOptions,
-    /// Counts.
+    /// The request counters.
     pub metrics: FrontMetrics,
-    /// The seed of all ids. It must come from the operating system but in tests.
+    /// The seed of all ids. Except in tests, it must come from the operating system.
     pub seed: [u8; 32],
 }
 
-/// `Front` takes callers' requests. Clones are the same front.
+/// `Front` serves callers' requests. Clones share the same front.
 #[derive(Debug)]
 pub struct Front<C, U, K> {
     inner: Arc<FrontInner<C, U, K>>,
 }
 
-/// `FrontInner` is what all requests share.
+/// `FrontInner` is the state that all requests share.
 #[derive(Debug)]
 struct FrontInner<C, U, K> {
     clock: C,
@@ -111,7 +111,7 @@
 }
 
 impl<C: Clock, U: Upstreams, K: Claims> Front<C, U, K> {
-    /// Makes a front without a configuration: it knows no service and no account yet.
+    /// Creates a front without a configuration, so without services and accounts.
     pub fn new(parts: FrontParts<C, U, K>) -> Self {
         let proxy = Proxy::new(parts.clock.clone(), parts.upstreams, parts.options.proxy);
         Self {
@@ -135,7 +135,7 @@
         let chat = self.clone();
         let plain = self.clone();
         let other = self.clone();
-        // The library's own answer to another method would carry no verdict.
+        // The library's default answer to other methods would carry no verdict.
         let other_method = self.clone();
         Router::new()
             .route(
@@ -147,14 +147,15 @@
             .fallback(move |req| async move { other.unknown(req).await })
     }
 
-    /// Puts a configuration in force for the requests that arrive from now on. `instances` is the
-    /// number of running instances, for the shares of account limits until peers are heard.
+    /// Applies a configuration to the requests that arrive from now on. `instances` is the number of
+    /// running instances; account limits are divided by it until peers have published their demand.
     pub fn apply(&self, cfg: &Configuration, instances: usize) {
         self.apply_with(cfg, instances, |_upstreams| {});
     }
 
-    /// As `apply`, but has `prepare` mark the upstreams before any request can meet them. Marked
-    /// afterwards, one that is new to this instance could get a request amid a change of it.
+    /// Works like `apply`, but first calls `prepare` to mark the upstreams. If they were marked
+    /// afterwards, an upstream that is new to this instance could get a request while it is being
+    /// changed.
     pub fn apply_with(
         &self,
         cfg: &Configuration,
@@ -173,30 +174,32 @@
         self.inner.state.store(Arc::new(state));
     }
 
-    /// Returns what requests are now checked against and routed by.
+    /// Returns the current state, by which requests are checked and routed.
     pub fn state(&self) -> Arc<FrontState> {
         self.inner.state.load_full()
     }
 
-    /// Returns what is believed of the engines' prefix caches, to be kept up with their events.
+    /// Returns the estimate of the engines' prefix caches, which the caller updates from their
+    /// cache events.
     pub fn prefixes(&self) -> &Arc<PrefixIndex> {
         &self.inner.prefixes
     }
 
-    /// Returns how many requests are in flight, up to the last byte of their answers handed over.
+    /// Returns how many requests are in flight. A request ends when the last byte of its answer has
+    /// been handed to the server.
     pub fn in_flight(&self) -> u64 {
         self.inner.flights.open()
     }
 
-    /// Waits until no request is in flight. After the phase `Serving` none begins any more.
+    /// Waits until no request is in flight. After the phase `Serving`, no new request begins.
     pub async fn idle(&self) {
         self.inner.flights.idle().await;
     }
 
-    /// Returns how many requests of this instance are in flight at an upstream, also those that
+    /// Returns how many requests of this instance are in flight at an upstream, including those that
     /// began before it was undeclared and declared again.
     ///
-    /// A drain marks the upstream first and asks then; see `proxy::in_flight_at`.
+    /// A drain must mark the upstream before it calls this; see `proxy::in_flight_at`.
     pub fn in_flight_at(&self, upstream: &UpstreamName) -> u64 {
         self.inner.state.load().in_flight_at(upstream)
     }
--- a/crates/anvilhook-daemon/src/front/plains.rs
+++ b/crates/anvilhook-daemon/src/front/plains.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services.
+//! Answers calls of plain services.
 
 use std::sync::Arc;
 
@@ -17,11 +17,11 @@
 use super::{Front, answers, bodies, headers};
 use crate::proxy::{ClaimRequest, Claims, Code, Failure, ProxyRequest, RequestKind};
 
-/// The beginning of the paths of plain services.
+/// The path prefix of calls to plain services.
 const SERVICES_PREFIX: &str = "/services/";
 
 impl<C: Clock, U: Upstreams, K: Claims> Front<C, U, K> {
-    /// Answers a call of a plain service that has been let in.
+    /// Answers an admitted call of a plain service.
     pub(super) async fn answer_plain(
         &self,
         arrival: Arrival,
@@ -55,7 +55,7 @@
         let answering = if idempotent {
             self.whole(arrival, req).await
         } else {
-            self.carry_through(arrival, req).await
+            self.run_detached(arrival, req).await
         };
         answering.map_err(by_service)
     }
@@ -69,17 +69,14 @@
         })
     }
 
-    /// Answers a request that may not be repeated. It is carried through also if its caller goes
-    /// away: cut half-way, nobody would know whether it ran, and no outcome would be recorded.
-    async fn carry_through(
-        &self,
-        arrival: Arrival,
-        req: ProxyRequest,
-    ) -> Result<Response, Failure> {
+    /// Answers a request that must not be repeated. It runs in its own task and so to its end even
+    /// if the caller disconnects: if it were aborted halfway, it would be unknown whether it ran,
+    /// and no outcome would be recorded.
+    async fn run_detached(&self, arrival: Arrival, req: ProxyRequest) -> Result<Response, Failure> {
         let Arrival { id, caller, account, flight, mut rng, .. } = arrival;
         let deadline = req.deadline;
         let front = self.clone();
-        let carrying = tokio::spawn(async move {
+        let running = tokio::spawn(async move {
             let inner = &front.inner;
             let result = match caller.idempotency_key {
                 Some(key) => {
@@ -94,12 +91,13 @@
             }
             result.map(|answer| (answer, flight))
         });
-        let (answer, flight) = carrying.await.unwrap_or_else(|err| {
-            let failure = Failure::not_run(Code::UpstreamFailed, format!("a task failed: {err}"));
+        let (answer, flight) = running.await.unwrap_or_else(|err| {
+            let message = format!("the request's task failed: {err}");
+            let failure = Failure::not_run(Code::UpstreamFailed, message);
             Err(Failure { verdict: Verdict::MayHaveRun, ..failure })
         })?;
         let answer = answers::answered(answer, id);
-        Ok(self.cover(answer, flight, deadline))
+        Ok(self.track_body(answer, flight, deadline))
     }
 }
 
@@ -109,7 +107,7 @@
         let message = format!("service {} offers no call {method} {path}", service.name);
         Failure::not_run(Code::UnknownCall, message)
     };
-    // An upstream that resolves such a path could run another call than the one declared here.
+    // An upstream that resolves relative segments could run a call other than the declared one.
     if has_relative_segments(path) {
         return Err(unknown());
     }
--- a/crates/anvilhook-daemon/src/front/routes.rs
+++ b/crates/anvilhook-daemon/src/front/routes.rs
@@ -1,4 +1,4 @@
-//! Letting requests in, and concluding them.
+//! Admits requests and concludes them.
 
 use std::sync::Arc;
 
@@ -21,23 +21,23 @@
 use super::{Front, answers};
 use crate::proxy::{Claims, Code, Failure, ProxyRequest, RequestKind};
 
-/// `Arrival` is a request that has been let in.
+/// `Arrival` is a request that has been admitted.
 pub(super) struct Arrival {
     /// The request's id.
     pub id: RequestId,
     /// When it arrived.
     pub arrived_at: Millis,
-    /// What its caller says of it.
+    /// The settings from its headers.
     pub caller: CallerHeaders,
-    /// Its account.
+    /// The caller's account.
     pub account: Arc<Account>,
-    /// Counts it in.
+    /// Counts the request as in flight.
     pub flight: Flight,
     /// Its random generator.
     pub rng: ChaCha8Rng,
 }
 
-/// `Refused` is a request that goes no further, with the service that counts it, if one is known.
+/// `Refused` is a failed request, with the metrics of its service if the service is known.
 pub(super) struct Refused {
     failure: Failure,
     metrics: Option<Arc<ServiceMetrics>>,
@@ -50,7 +50,7 @@
 }
 
 impl Refused {
-    /// Returns what makes a refusal by a service of a failure.
+    /// Returns a function that attributes a failure to the given service.
     pub(super) fn by(service: &Service) -> impl FnOnce(Failure) -> Refused {
         let metrics = Arc::clone(&service.metrics);
         move |failure| Refused { failure, metrics: Some(metrics) }
@@ -62,7 +62,7 @@
     pub(super) async fn chat(&self, req: Request) -> Response {
         let (parts, body) = req.into_parts();
         let (id, rng) = self.identify(&parts);
-        let result = match self.let_in(&parts, id, rng) {
+        let result = match self.admit(&parts, id, rng) {
             Ok(arrival) => self.answer_chat(arrival, &parts, body).await,
             Err(failure) => Err(failure.into()),
         };
@@ -73,20 +73,20 @@
     pub(super) async fn plain(&self, req: Request) -> Response {
         let (parts, body) = req.into_parts();
         let (id, rng) = self.identify(&parts);
-        let result = match self.let_in(&parts, id, rng) {
+        let result = match self.admit(&parts, id, rng) {
             Ok(arrival) => self.answer_plain(arrival, &parts, body).await,
             Err(failure) => Err(failure.into()),
         };
         self.conclude(result, id)
     }
 
-    /// Answers a request to a path that nothing is at.
+    /// Answers a request to an unknown path.
     pub(super) async fn unknown(&self, req: Request) -> Response {
         let (parts, _body) = req.into_parts();
         let (id, rng) = self.identify(&parts);
-        let message = "nothing is at this path";
+        let message = "there is nothing at this path";
         let refusal = Failure::not_run(Code::UnknownCall, message);
-        let failure = self.let_in(&parts, id, rng).err().unwrap_or(refusal);
+        let failure = self.admit(&parts, id, rng).err().unwrap_or(refusal);
         self.conclude(Err(failure.into()), id)
     }
 
@@ -98,21 +98,21 @@
         (id, rng)
     }
 
-    /// Checks all that can be checked without the body.
-    fn let_in(&self, parts: &Parts, id: RequestId, rng: ChaCha8Rng) -> Result<Arrival, Failure> {
+    /// Admits a request after all checks that don't need the body.
+    fn admit(&self, parts: &Parts, id: RequestId, rng: ChaCha8Rng) -> Result<Arrival, Failure> {
         let inner = &self.inner;
         let arrived_at = inner.clock.now();
         let retry_after = inner.options.proxy.retry_after;
 
-        // The request is counted in before the phase is looked at: a stop that sets the phase and
-        // then finds nothing in flight can't miss it.
+        // The request is counted before the phase is checked, so that a stop which sets the phase
+        // and then reads the count can't miss it.
         let (mut flight, fits) = inner.flights.enter(inner.options.max_open_requests);
         if inner.shutdown.phase() != Phase::Serving {
             let failure = Failure::not_run(Code::Draining, "the instance is stopping");
             return Err(failure.retry_after(Millis::ZERO));
         }
         if !fits {
-            let message = format!("{} requests are open", inner.options.max_open_requests);
+            let message = format!("{} requests are already open", inner.options.max_open_requests);
             return Err(Failure::not_run(Code::TooManyOpen, message).retry_after(retry_after));
         }
         let max_bytes = inner.options.max_header_bytes;
@@ -141,7 +141,7 @@
         })
     }
 
-    /// Logs and counts a failure, and turns the result into the answer.
+    /// Logs and counts a failure, and converts the result into the answer.
     fn conclude(&self, result: Result<Response, Refused>, id: RequestId) -> Response {
         let refused = match result {
             Ok(answer) => return answer,
@@ -151,7 +151,7 @@
         log::info!(request:% = id, verdict:% = failure.verdict; "request failed: {failure}");
         refused.metrics.as_ref().unwrap_or(self.inner.metrics.unknown()).failed(failure);
         let mut answer = answers::failed(failure, id);
-        // The rest of a body that was not read would be taken for the next request.
+        // The unread rest of the body would be parsed as the next request on the connection.
         let body_unread = matches!(failure.code, Code::BodyTooLarge | Code::HeadersTooLarge);
         if body_unread || failure.code == Code::Draining {
             answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Answers a request whole.
+    /// Answers a request without streaming.
     pub(super) async fn whole(
         &self,
         mut arrival: Arrival,
@@ -194,13 +194,18 @@
         let answer = self.inner.proxy.answer_whole(&req, &mut arrival.rng).await?;
         self.count_answered(&req, true);
         let answer = answers::answered(answer, req.id);
-        Ok(self.cover(answer, arrival.flight, req.deadline))
+        Ok(self.track_body(answer, arrival.flight, req.deadline))
     }
 
-    /// Keeps a request counted in until its answer has been read, at most until its deadline.
-    pub(super) fn cover(&self, answer: Response, flight: Flight, deadline: Millis) -> Response {
+    /// Counts a request as in flight until its answer has been read, at most until its deadline.
+    pub(super) fn track_body(
+        &self,
+        answer: Response,
+        flight: Flight,
+        deadline: Millis,
+    ) -> Response {
         let time_left = deadline - self.inner.clock.now();
-        answer.map(|body| FlightBody::cover(body, flight, time_left))
+        answer.map(|body| FlightBody::wrap(body, flight, time_left))
     }
 
     /// Counts a request that was answered.
--- a/crates/anvilhook-daemon/src/front/states.rs
+++ b/crates/anvilhook-daemon/src/front/states.rs
@@ -1,4 +1,4 @@
-//! What the caller front knows of the configuration, replaced as a whole when that changes.
+//! The caller front's view of the configuration, which is replaced as a whole when that changes.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::sync::Arc;
@@ -20,34 +20,34 @@
 /// `Account` is a caller's account.
 #[derive(Debug)]
 pub struct Account {
-    /// Its name.
+    /// The account's name.
     pub name: AccountName,
-    /// What is declared of it.
+    /// Its declaration.
     pub spec: AccountSpec,
-    /// This instance's share of its limits.
+    /// Enforces this instance's share of its limits.
     pub limiter: AccountLimiter,
 }
 
-/// `Service` is what callers ask for, with what this instance keeps of it.
+/// `Service` is a service that callers can use, with this instance's state of it.
 #[derive(Debug)]
 pub struct Service {
-    /// Its name.
+    /// The service's name.
     pub name: ServiceName,
-    /// What is declared of it.
+    /// Its declaration.
     pub spec: ServiceSpec,
     /// Its upstreams.
     pub table: RouteTable,
     /// Its retry budget.
     pub budget: Arc<RetryBudget>,
-    /// The work that was asked of it, for the planning of roles.
+    /// Measures the requested work, for the planning of roles.
     pub meter: Arc<WorkMeter>,
     /// Its metrics.
     pub metrics: Arc<ServiceMetrics>,
 }
 
 impl Service {
-    /// Returns the declared call that a request makes, if there is one. The longest beginning of
-    /// the path decides.
+    /// Returns the declared call that a request matches, if there is one. The call with the longest
+    /// matching path prefix wins.
     pub fn call(&self, method: &str, path: &str) -> Option<&CallSpec> {
         let ServiceBackend::Plain { calls, .. } = &self.spec.backend else { return None };
         let matches = |call: &&CallSpec| {
@@ -57,38 +57,38 @@
     }
 }
 
-/// Returns whether a path begins with whole segments of a prefix: `/alerts` covers `/alerts/7`, but
-/// not `/alertsx`.
+/// Returns whether `prefix` matches whole leading segments of a path: `/alerts` matches `/alerts/7`,
+/// but not `/alertsx`.
 fn is_below(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
 }
 
-/// The most engines whose prefix caches are followed.
-const MAX_CACHES: u16 = 4_096;
+/// The maximum number of engines whose prefix caches are tracked.
+const MAX_CACHE_SLOTS: u16 = 4_096;
 
-/// How many pairs of an engine and a block of a prompt can be remembered, in 2 MB.
-const REMEMBERED_BLOCKS: usize = 1 << 18;
+/// How many pairs of an engine and a prompt block the prefix index stores, in 2 MB.
+const MAX_INDEXED_BLOCKS: usize = 1 << 18;
 
-/// `BuildOptions` is what a state is built by, besides the configuration.
+/// `BuildOptions` holds the inputs of a state other than the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct BuildOptions<'a> {
-    /// The number of running instances, for the shares of account limits.
+    /// The number of running instances, by which account limits are divided at first.
     pub instances: usize,
-    /// How the shares move.
+    /// How the shares of account limits are adjusted.
     pub limits: &'a LimitOptions,
     /// The metrics that services are counted in.
     pub metrics: &'a FrontMetrics,
-    /// What is believed of the engines' prefix caches.
+    /// The estimate of the engines' prefix caches.
     pub prefixes: &'a Arc<PrefixIndex>,
 }
 
-/// Returns an index in which no prefix is known yet.
+/// Returns an empty prefix index.
 pub fn new_prefix_index() -> Arc<PrefixIndex> {
-    Arc::new(PrefixIndex::new(usize::from(MAX_CACHES), REMEMBERED_BLOCKS))
+    Arc::new(PrefixIndex::new(usize::from(MAX_CACHE_SLOTS), MAX_INDEXED_BLOCKS))
 }
 
-/// `FrontState` is what requests are checked against and routed by.
+/// `FrontState` is the state by which requests are checked and routed.
 #[derive(Debug, Default)]
 pub struct FrontState {
     services: HashMap<ServiceName, Arc<Service>>,
@@ -100,8 +100,8 @@
 }
 
 impl FrontState {
-    /// Builds the state of a configuration. What `earlier` kept of upstreams, accounts and retry
-    /// budgets goes on where their declarations stay the same.
+    /// Builds the state for a configuration. The runtime state of upstreams, accounts and retry
+    /// budgets is taken over from `earlier` where their declarations stay the same.
     pub fn build(cfg: &Configuration, earlier: &FrontState, options: &BuildOptions<'_>) -> Self {
         let mut state = FrontState::default();
         for resource in cfg.of_kind(Kind::Account) {
@@ -110,12 +110,12 @@
         let mut pools: HashMap<PoolName, Vec<Arc<UpstreamState>>> = HashMap::new();
         for resource in cfg.of_kind(Kind::Engine) {
             let Spec::Engine(engine) = &resource.spec else { continue };
-            // Names of resources and of upstreams follow one rule.
+            // Resource names and upstream names follow the same rule, so this does not fail.
             let Ok(name) = UpstreamName::try_new(resource.name.as_str()) else { continue };
             let upstream = state.upstream(earlier, name, engine.address, &engine.zone);
             pools.entry(engine.pool.clone()).or_default().push(upstream);
         }
-        state.number_caches(&pools, options.prefixes);
+        state.assign_cache_slots(&pools, options.prefixes);
         for resource in cfg.of_kind(Kind::Service) {
             state.add_service(resource, earlier, &pools, options);
         }
@@ -123,17 +123,18 @@
         state
     }
 
-    /// Keeps the earlier upstreams that are not declared any more for as long as they have open
-    /// requests. Without them an engine that is declared again would count as idle while it still
-    /// answers an earlier request, and a drain of it would cut that.
+    /// Retains the earlier upstreams that are no longer declared for as long as they have open
+    /// requests. Otherwise, an engine that is declared again would count as idle while it still
+    /// answers an earlier request, and draining it would truncate that answer.
     ///
-    /// Each is retired before it is counted: a request that chose it from an earlier state is either
-    /// counted here or sees that it takes no work, so none begins at one that is not kept.
+    /// Each upstream is retired before its requests are counted: a request that chose it from an
+    /// earlier state is either counted here or sees that the upstream accepts no work, so no request
+    /// begins at an upstream that is not retained.
     fn retire_undeclared(&mut self, earlier: &FrontState) {
-        let is_kept = |state: &Arc<UpstreamState>| {
-            self.upstreams.get(state.name()).is_some_and(|kept| Arc::ptr_eq(kept, state))
+        let is_declared = |state: &Arc<UpstreamState>| {
+            self.upstreams.get(state.name()).is_some_and(|declared| Arc::ptr_eq(declared, state))
         };
-        let undeclared = earlier.upstreams.values().filter(|state| !is_kept(state));
+        let undeclared = earlier.upstreams.values().filter(|state| !is_declared(state));
         let open = undeclared.chain(&earlier.retired).filter(|state| {
             state.retire();
             in_flight_at(state) > 0
@@ -141,13 +142,13 @@
         self.retired = open.cloned().collect();
     }
 
-    /// Returns the service of a name.
+    /// Returns the service with the given name.
     pub fn service(&self, name: &str) -> Option<&Arc<Service>> {
         self.services.get(&ServiceName::try_new(name).ok()?)
     }
 
-    /// Returns the service that chat completions of a model go to: the service with that name, or
-    /// else the first, by name, that serves the model.
+    /// Returns the service for chat completions with the given `model`: the model service of that
+    /// name, or else the first service by name that serves the model.
     pub fn chat_service(&self, model: &str) -> Option<&Arc<Service>> {
         let named = self.service(model);
         let is_model =
@@ -155,7 +156,7 @@
         named.filter(is_model).or_else(|| self.models.get(model))
     }
 
-    /// Returns the account of a token.
+    /// Returns the account that a token belongs to.
     pub fn account(&self, token: &str) -> Option<&Arc<Account>> {
         self.credentials.find(token)
     }
@@ -175,8 +176,8 @@
         &self.upstreams
     }
 
-    /// Returns how many requests are in flight at an upstream, those included that began when it
-    /// was declared otherwise: under this name, or by another name at this address.
+    /// Returns how many requests are in flight at an upstream. This includes requests that began
+    /// under an earlier declaration of the same name or the same address.
     pub fn in_flight_at(&self, name: &UpstreamName) -> u64 {
         let declared = self.upstreams.get(name);
         let address = declared.map(|state| state.address());
@@ -194,25 +195,25 @@
     ) {
         let Spec::Account(spec) = &resource.spec else { return };
         let Ok(name) = AccountName::try_new(resource.name.as_str()) else { return };
-        let kept = earlier.accounts.get(&name).filter(|account| account.spec == *spec);
-        if let Some(kept) = kept {
-            kept.limiter.set_instances(spec, options.instances);
+        let unchanged = earlier.accounts.get(&name).filter(|account| account.spec == *spec);
+        if let Some(unchanged) = unchanged {
+            unchanged.limiter.set_instances(spec, options.instances);
         }
-        let account = kept.cloned().unwrap_or_else(|| {
+        let account = unchanged.cloned().unwrap_or_else(|| {
             let limiter = AccountLimiter::new(spec, options.instances, options.limits);
             Arc::new(Account { name: name.clone(), spec: spec.clone(), limiter })
         });
         for text in &spec.token_sha256 {
             match TokenDigest::from_hex(text) {
                 Some(digest) => self.credentials.insert(digest, Arc::clone(&account)),
-                None => log::warn!("account {name}: a token's digest is not 64 hexadecimal digits"),
+                None => log::warn!("account {name}: a token digest is not 64 hexadecimal digits"),
             }
         }
         self.accounts.insert(name, account);
     }
 
-    /// Gives each new engine a free slot of the prefix index.
-    fn number_caches(
+    /// Assigns a free slot of the prefix index to each new engine.
+    fn assign_cache_slots(
         &self,
         pools: &HashMap<PoolName, Vec<Arc<UpstreamState>>>,
         prefixes: &PrefixIndex,
@@ -220,12 +221,13 @@
         let engines = || pools.values().flatten();
         let mut taken: HashSet<u16> =
             engines().filter_map(|engine| engine.cache_slot()).map(|slot| slot.0).collect();
-        let mut free = 0..MAX_CACHES;
+        let mut free = 0..MAX_CACHE_SLOTS;
         for engine in engines().filter(|engine| engine.cache_slot().is_none()) {
-            // An engine beyond the last slot is served without knowledge of its cache.
+            // When all slots are taken, requests are routed to the engine without an estimate of
+            // its cache.
             let Some(slot) = free.find(|slot| !taken.contains(slot)) else { return };
             taken.insert(slot);
-            // What is believed of the engine that had the slot before is not true of this one.
+            // Entries of the engine that had the slot before do not apply to this one.
             prefixes.void(CacheSlot(slot));
             engine.set_cache_slot(CacheSlot(slot));
         }
@@ -247,9 +249,9 @@
                 .map(|plain| self.upstream(earlier, plain.name.clone(), plain.address, &plain.zone))
                 .collect(),
         };
-        let kept = earlier.services.get(&name);
-        let budget = kept.map(|service| Arc::clone(&service.budget));
-        let meter = kept.map(|service| Arc::clone(&service.meter));
+        let previous = earlier.services.get(&name);
+        let budget = previous.map(|service| Arc::clone(&service.budget));
+        let meter = previous.map(|service| Arc::clone(&service.meter));
         let new_budget = || Arc::new(RetryBudget::new(&RetryBudgetOptions::default()));
         let service = Arc::new(Service {
             name: name.clone(),
@@ -266,7 +268,7 @@
         self.services.insert(name, service);
     }
 
-    /// Returns what is known of an upstream, or begins anew if it is another one by its address.
+    /// Returns the existing state of an upstream, or a new state if its address or zone changed.
     fn upstream(
         &mut self,
         earlier: &FrontState,
