--- a/crates/anvilhook-daemon/src/lib.rs
+++ b/crates/anvilhook-daemon/src/lib.rs
@@ -1,4 +1,5 @@
-//! The daemon's parts, so that a test or the local demonstration can start an instance in-process.
+//! The parts of the daemon, as a library, so that a test or the local demonstration can start an
+//! instance in-process.
 #![forbid(unsafe_code)]
 
 pub mod front;
--- a/crates/anvilhook-daemon/src/main.rs
+++ b/crates/anvilhook-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! `anvilhookd`: one instance of anvilhook.
+//! Runs `anvilhookd`, one instance of anvilhook.
 
 use std::io::Write;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use anvilhook_daemon::settings::{self, Settings};
 use argh::FromArgs;
 
-/// The exit status on settings that cannot be used.
+/// The exit status for invalid settings.
 const BAD_SETTINGS: u8 = 2;
 
 /// Run one instance of anvilhook until SIGTERM, SIGINT or SIGHUP, which stop it gracefully.
@@ -49,11 +49,12 @@
     let _logging = start_logging(&settings.logging)?;
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     runtime.block_on(async {
-        // The signals are caught before anything is open, so that none ends the process at once.
+        // The signal handlers are installed first, so that a signal during the start stops the
+        // instance gracefully.
         let signals = StopSignals::try_new()?;
         let instance = Instance::start(settings, Parts::of_this_process()).await?;
 
-        // Whoever started the process reads the addresses that the kernel chose.
+        // The process that started this one reads the addresses that the kernel chose.
         let mut stdout = std::io::stdout();
         writeln!(stdout, "{}", serde_json::to_string(&instance.announcement())?)?;
         stdout.flush()?;
--- a/crates/anvilhook-daemon/src/names.rs
+++ b/crates/anvilhook-daemon/src/names.rs
@@ -1,20 +1,20 @@
-//! The running name of an instance, and the generator that goes with it.
+//! Generates an instance's running name and its random generator.
 
 use anvilhook_core::names::InstanceName;
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use sha2::{Digest, Sha256};
 
-/// The number of characters of the random part.
+/// The number of characters in the random suffix.
 pub const SUFFIX_LEN: usize = 8;
 
 const ALPHABET: &[u8; 32] = b"abcdefghijklmnopqrstuvwxyz234567";
 
-/// Draws the name of a process that starts now.
+/// Draws a new name for a starting process.
 ///
-/// A restarted process must never be taken for the one before it: its predecessor may have left
-/// claims, leases and acknowledgements behind that it knows nothing of. Hence each start draws a
-/// new name.
+/// Each start draws a new name, because a restarted process must never be mistaken for its
+/// predecessor, which may have left claims, leases and acknowledgements that the new process knows
+/// nothing about.
 ///
 /// ```
 /// use anvilhook_daemon::names::running_name;
@@ -29,7 +29,7 @@
 ///
 /// # Errors
 ///
-/// `Error::BadName` if the prefix breaks the rule of names or leaves no room.
+/// `Error::BadName` if the prefix is not valid in a name or is too long for the suffix to fit.
 pub fn running_name(prefix: &str, rng: &mut impl Rng) -> anvilhook_core::Result<InstanceName> {
     let mut name = format!("{prefix}-");
     for _ in 0..SUFFIX_LEN {
@@ -39,12 +39,12 @@
     InstanceName::try_new(&name)
 }
 
-/// Returns the generator that all random choices of an instance come from: `rng`, with the
-/// instance's running name mixed in.
+/// Returns the generator for all random choices of an instance: `rng` with the instance's running
+/// name mixed in.
 ///
-/// Attempts are told apart by ids drawn from it. Two instances that were given one seed would draw
-/// the same ids, and each would take the other's claim for its own: a request that must run once
-/// would run twice. With the name mixed in, they draw different ones.
+/// Attempt ids are drawn from it. Without the name, two instances with the same seed would draw the
+/// same ids, and each would take the other's claim for its own, so that a request that must run once
+/// would run twice.
 ///
 /// ```
 /// use anvilhook_core::names::InstanceName;
--- a/crates/anvilhook-daemon/src/observability/fronts.rs
+++ b/crates/anvilhook-daemon/src/observability/fronts.rs
@@ -1,4 +1,4 @@
-//! `/metrics`, `/healthz` and `/readyz`.
+//! Serves `/metrics`, `/healthz` and `/readyz`.
 
 use std::sync::Arc;
 
@@ -9,7 +9,8 @@
 use volo_http::body::Body;
 use volo_http::server::route::{Router, get};
 
-/// `Readiness` says whether the platform's balancer should send callers here. Clones share it.
+/// `Readiness` is whether the platform's balancer should send callers to this instance. Clones share
+/// it.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     configured: watch::Sender<bool>,
@@ -17,23 +18,23 @@
 }
 
 impl Readiness {
-    /// Makes the readiness of an instance that has no configuration yet.
+    /// Creates the readiness of an instance that has no configuration yet.
     pub fn new(shutdown: Shutdown) -> Self {
         Self { configured: watch::Sender::new(false), shutdown }
     }
 
-    /// Says that a configuration is in force.
+    /// Records that a configuration is applied.
     pub fn set_configured(&self) {
         self.configured.send_replace(true);
     }
 
-    /// Waits until a configuration is in force.
+    /// Waits until a configuration is applied.
     pub async fn configured(&self) {
-        // The sender lives in `self`, so the channel cannot close during the wait.
+        // `self` holds the sender, so the channel can't close during the wait.
         let _ = self.configured.subscribe().wait_for(|configured| *configured).await;
     }
 
-    /// Returns why no callers should be sent here, if so.
+    /// Returns the reason why no callers should be sent here, or `None` if the instance is ready.
     pub fn objection(&self) -> Option<&'static str> {
         if self.shutdown.phase() != Phase::Serving {
             Some("stopping")
--- a/crates/anvilhook-daemon/src/observability/logs.rs
+++ b/crates/anvilhook-daemon/src/observability/logs.rs
@@ -1,6 +1,6 @@
-//! Logs on the standard error stream, as text or as JSON.
+//! Writes logs to the standard error stream, as text or JSON.
 //!
-//! Each line of a request carries its id as the key-value `request`.
+//! Each line about a request has the request's id as the key-value pair `request`.
 
 use std::fmt;
 
@@ -9,7 +9,7 @@
 
 use crate::settings::{LogFormat, LogLevel, LoggingSettings};
 
-/// `LogError` is returned when logging cannot be started.
+/// `LogError` is returned when logging can't be started.
 #[derive(Debug)]
 pub struct LogError(flexi_logger::FlexiLoggerError);
 
@@ -21,11 +21,11 @@
 
 impl std::error::Error for LogError {}
 
-/// Starts logging for the whole process. The handle must be kept as long as lines are wanted.
+/// Starts logging for the whole process. Logging stops when the handle is dropped.
 ///
 /// # Errors
 ///
-/// A `LogError` if the process logs already.
+/// A `LogError` if the process already logs.
 pub fn start_logging(settings: &LoggingSettings) -> Result<LoggerHandle, LogError> {
     let level = match settings.level {
         LogLevel::Error => LevelFilter::Error,
@@ -38,7 +38,7 @@
         LogFormat::Json => flexi_logger::json_format,
     };
 
-    // The libraries below log each connection; only their warnings concern an operator.
+    // The libraries log each connection; only their warnings are relevant to an operator.
     let mut spec = LogSpecification::builder();
     spec.default(level.min(LevelFilter::Warn)).module("anvilhook", level);
     for name in OWN_CRATES {
@@ -48,7 +48,7 @@
     logger.start().map_err(LogError)
 }
 
-/// The crates whose lines are written at the level asked for.
+/// The crates whose lines are written at the configured level.
 const OWN_CRATES: [&str; 7] = [
     "anvilhook_authority",
     "anvilhook_core",
--- a/crates/anvilhook-daemon/src/observability/mod.rs
+++ b/crates/anvilhook-daemon/src/observability/mod.rs
@@ -1,4 +1,4 @@
-//! What an instance shows of itself: logs, metrics and probes.
+//! Logs, metrics and probes of an instance.
 
 mod fronts;
 mod logs;
--- a/crates/anvilhook-daemon/src/observability/processes.rs
+++ b/crates/anvilhook-daemon/src/observability/processes.rs
@@ -1,4 +1,4 @@
-//! The processor time and memory of a process, read from `/proc`.
+//! Reads the processor time and memory of a process from `/proc`.
 
 use std::fmt;
 
@@ -8,23 +8,24 @@
 use prometheus_client::metrics::gauge::ConstGauge;
 use prometheus_client::registry::Unit;
 
-/// The ticks of a second in `/proc/PID/stat`; the kernel's interface fixes it at 100.
+/// The ticks per second in `/proc/PID/stat`, which the kernel's interface fixes at 100.
 const TICKS_PER_S: f64 = 100.0;
 
-/// The places of user and system time in `/proc/PID/stat`, counted after the command's name.
+/// The indices of user and system time among the fields after the command's name in
+/// `/proc/PID/stat`.
 const UTIME_FIELD: usize = 11;
 const STIME_FIELD: usize = 12;
 
-/// `ProcessUsage` is what this process has used.
+/// `ProcessUsage` is the processor time and memory that a process uses.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
-    /// Processor time since the start, in seconds, of all threads, in user and kernel mode.
+    /// Processor time of all threads since the start, in user and kernel mode, in seconds.
     pub cpu_seconds: f64,
-    /// Memory that is resident now, in bytes.
+    /// Resident memory, in bytes.
     pub resident_bytes: u64,
 }
 
-/// Reads the usage of this process. Returns nothing where the kernel does not tell.
+/// Reads the usage of this process. Returns `None` if `/proc` does not provide it.
 ///
 /// ```
 /// let usage = anvilhook_daemon::observability::read_process_usage().unwrap();
@@ -34,7 +35,7 @@
     read_usage_of(std::process::id())
 }
 
-/// Reads the usage of the process with the given id. Returns nothing where the kernel does not tell.
+/// Reads the usage of the process with the given id. Returns `None` if `/proc` does not provide it.
 pub fn read_usage_of(pid: u32) -> Option<ProcessUsage> {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
@@ -45,7 +46,7 @@
 }
 
 fn parse_cpu_seconds(stat: &str) -> Option<f64> {
-    // The command's name stands in parentheses and may itself hold spaces and parentheses.
+    // The command's name is in parentheses and may itself contain spaces and parentheses.
     let (_, after_name) = stat.rsplit_once(')')?;
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let utime: f64 = fields.get(UTIME_FIELD)?.parse().ok()?;
@@ -59,7 +60,7 @@
     Some(kibibytes * 1_024)
 }
 
-/// `ProcessCollector` reads the usage of this process each time that metrics are asked for.
+/// `ProcessCollector` reads the usage of this process each time that metrics are scraped.
 #[derive(Debug)]
 pub struct ProcessCollector;
 
@@ -80,7 +81,7 @@
         let resident = ConstGauge::new(i64::try_from(usage.resident_bytes).unwrap_or(i64::MAX));
         let metric = encoder.encode_descriptor(
             "process_resident_memory",
-            "Memory of the process that is resident",
+            "Resident memory of the process",
             Some(&Unit::Bytes),
             prometheus_client::metrics::MetricType::Gauge,
         )?;
--- a/crates/anvilhook-daemon/src/operators/audits.rs
+++ b/crates/anvilhook-daemon/src/operators/audits.rs
@@ -1,4 +1,4 @@
-//! Who changed what.
+//! Lists the audit trail.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use super::leases::LeaseSource;
 use super::{OperatorApi, refusals};
 
-/// The number of entries of an answer whose caller names none.
+/// The number of entries in an answer if the caller sets no limit.
 const DEFAULT_ENTRIES: usize = 50;
 
-/// Answers with a part of the audit trail, the newest one unless the caller says where to begin.
+/// Answers with a part of the audit trail: the newest entries, unless the caller sets `from`.
 pub(super) async fn list<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
--- a/crates/anvilhook-daemon/src/operators/changes.rs
+++ b/crates/anvilhook-daemon/src/operators/changes.rs
@@ -1,4 +1,4 @@
-//! What a change expects, its id, and what became of it.
+//! Parses a change's id and its expected version, and reports a change's outcome.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use super::leases::LeaseSource;
 use super::{OperatorApi, refusals};
 
-/// Answers what became of a change.
+/// Answers with the outcome of a change.
 pub(super) async fn state<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
@@ -38,10 +38,10 @@
     text.parse().map_err(|_| Box::new(Refusal::bad_field("change id", "32 hexadecimal digits")))
 }
 
-/// Returns what a replacement or deletion expects to find, from its `if-match` header or its body.
+/// Returns the version that a replacement or deletion expects, from its `if-match` header or body.
 ///
-/// A change that names no version is refused: it would undo what another operator did since its
-/// caller looked.
+/// A change that names no version is refused, because it could undo a change that another operator
+/// made after the caller read the resource.
 pub(super) fn expected(call: &Call, body_version: Option<Revision>) -> Answer<Expected> {
     let header = call.header(IF_MATCH.as_str())?.map(parse_match).transpose()?;
     match (header, body_version.map(of_version)) {
--- a/crates/anvilhook-daemon/src/operators/credentials.rs
+++ b/crates/anvilhook-daemon/src/operators/credentials.rs
@@ -1,4 +1,4 @@
-//! Who may use the API, told by bearer tokens.
+//! Authenticates operators by bearer tokens and checks their rights.
 
 use anvilhook_core::names::SubjectName;
 use http::HeaderMap;
@@ -13,7 +13,7 @@
 /// The length of a SHA-256 digest in bytes.
 const DIGEST_LEN: usize = 32;
 
-/// `Credentials` knows the digests of the operators' tokens, never the tokens.
+/// `Credentials` holds the digests of the operators' tokens, never the tokens themselves.
 #[derive(Clone, Debug)]
 pub struct Credentials {
     entries: Vec<Credential>,
@@ -25,17 +25,17 @@
     operator: Operator,
 }
 
-/// `Operator` is someone whose token was recognised.
+/// `Operator` is an operator whose token was recognised.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Operator {
-    /// The name in the audit trail.
+    /// The operator's name in the audit trail.
     pub subject: SubjectName,
-    /// What the operator may do.
+    /// The operator's rights.
     pub rights: OperatorRights,
 }
 
 impl Credentials {
-    /// Takes the operators of the settings.
+    /// Creates the credentials of the operators in the settings.
     ///
     /// # Errors
     ///
@@ -53,7 +53,7 @@
         Ok(Self { entries })
     }
 
-    /// Recognises the caller of a request and checks that it has the rights.
+    /// Authenticates the caller of a request and checks that it has the needed rights.
     pub(super) fn authorise(
         &self,
         headers: &HeaderMap,
@@ -70,10 +70,10 @@
         Ok(operator)
     }
 
-    /// Finds the operator of a token.
+    /// Finds the operator that a token belongs to.
     ///
-    /// All digests are compared, each in a time that does not depend on where it differs. A
-    /// comparison that stopped early would tell a patient caller how much of a guess is right.
+    /// All digests are compared, each in constant time. A comparison that stopped early would reveal,
+    /// over many tries, how much of a guess is right.
     fn find(&self, token: &str) -> Option<&Operator> {
         let digest = Sha256::digest(token.as_bytes());
         let mut found = None;
--- a/crates/anvilhook-daemon/src/operators/endpoints.rs
+++ b/crates/anvilhook-daemon/src/operators/endpoints.rs
@@ -1,5 +1,5 @@
-//! The shape that all of the API's handlers share: recognise the caller, read the request, run, and
-//! put a refusal into words.
+//! The frame that all handlers of the API share: it authenticates the caller, reads the request, runs
+//! the handler, and converts a refusal into an answer.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -25,31 +25,31 @@
 use super::credentials::{Credentials, Operator};
 use crate::settings::OperatorRights;
 
-/// The largest body of a request, in bytes.
+/// The maximum size of a request's body, in bytes.
 const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// The longest wait for a request's body.
 const BODY_TIMEOUT: Millis = Millis::from_secs(10);
 
-/// The longest message of a refusal, in characters.
+/// The maximum length of a refusal's message, in characters.
 const MAX_MESSAGE_CHARS: usize = 1_000;
 
-/// What a handler returns. The refusal is boxed because it is large and rare.
+/// The result of a handler. The refusal is boxed because it is large and rare.
 pub(super) type Answer<T = Response> = Result<T, Box<Refusal>>;
 
 /// `Parameters` are the query parameters of all calls.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct Parameters {
-    /// The first revision wanted, or the one after which changes are wanted.
+    /// The first revision to return, or, for a watch, the revision after which changes are sent.
     pub from: Option<u64>,
-    /// The most entries wanted.
+    /// The maximum number of entries to return.
     pub limit: Option<usize>,
-    /// The revision on which a change was conditioned.
+    /// The revision that a change was based on.
     pub base: Option<u64>,
 }
 
-/// `Call` is a request whose caller was recognised.
+/// `Call` is a request whose caller is authenticated.
 pub(super) struct Call {
     pub operator: Operator,
     pub params: PathParamsVec,
@@ -59,13 +59,13 @@
 }
 
 impl Call {
-    /// Returns a part of the path by the name that the route gives it.
+    /// Returns a path parameter by its name in the route.
     pub(super) fn param(&self, name: &str) -> &str {
         let found = self.params.iter().find(|(key, _)| key == name);
         found.map_or("", |(_, value)| value.as_str())
     }
 
-    /// Returns a header's text.
+    /// Returns the text of a header.
     pub(super) fn header(&self, name: &str) -> Answer<Option<&str>> {
         let Some(value) = self.headers.get(name) else { return Ok(None) };
         let text = value.to_str().map_err(|_| bad_request(format!("{name}: expected plain text")));
@@ -73,14 +73,14 @@
     }
 }
 
-/// `Endpoint` runs a handler on some shared state for callers with the given rights.
+/// `Endpoint` runs a handler with shared state for callers that have the given rights.
 pub(super) struct Endpoint<A, F> {
     pub api: Arc<A>,
     pub rights: OperatorRights,
     pub run: F,
 }
 
-/// `Authoriser` is shared state that knows the callers.
+/// `Authoriser` is shared state that has the callers' credentials.
 pub(super) trait Authoriser {
     /// Returns the callers' credentials.
     fn credentials(&self) -> &Credentials;
@@ -107,7 +107,7 @@
 impl<A: Authoriser, F> Endpoint<A, F> {
     async fn receive(&self, cx: &mut ServerContext, req: Request) -> Answer<Call> {
         let (mut parts, body) = req.into_parts();
-        // The caller is recognised before anything else of the request is looked at.
+        // The caller is authenticated before any other part of the request is read.
         let operator = self.api.credentials().authorise(&parts.headers, self.rights)?.clone();
         let parameters = read_parameters(cx, &mut parts).await?;
         let body = read_body(body).await?;
@@ -134,17 +134,17 @@
             let message = format!("body: expected at most {MAX_BODY_BYTES} bytes");
             Err(Box::new(Refusal::new(Code::TooLarge, message)))
         }
-        Ok(Err(err)) => Err(bad_request(format!("body: expected it whole: {err}"))),
+        Ok(Err(err)) => Err(bad_request(format!("body: expected a complete body: {err}"))),
         Err(_elapsed) => Err(bad_request(format!("body: expected it within {BODY_TIMEOUT}"))),
     }
 }
 
-/// Makes the refusal of a request that cannot be understood.
+/// Creates the refusal of a malformed request.
 pub(super) fn bad_request(message: impl Into<String>) -> Box<Refusal> {
     Box::new(Refusal::new(Code::BadRequest, message))
 }
 
-/// Makes the refusal for something that is not there.
+/// Creates the refusal of a request for something that does not exist.
 pub(super) fn not_found(message: impl Into<String>) -> Box<Refusal> {
     Box::new(Refusal::new(Code::NotFound, message))
 }
@@ -157,7 +157,7 @@
 /// Answers with a refusal.
 pub(super) fn refuse(mut refusal: Refusal) -> Response {
     let code = refusal.code;
-    // A message about a bad value repeats the value, which can be as large as the body.
+    // A message about an invalid value repeats the value, which can be as large as the body.
     if let Some((end, _)) = refusal.message.char_indices().nth(MAX_MESSAGE_CHARS) {
         refusal.message.truncate(end);
     }
--- a/crates/anvilhook-daemon/src/operators/leases.rs
+++ b/crates/anvilhook-daemon/src/operators/leases.rs
@@ -1,4 +1,4 @@
-//! Who holds authority over which pool.
+//! Reads the holders of authority over the pools.
 
 use std::future::Future;
 
@@ -7,16 +7,16 @@
 use anvilhook_core::names::PoolName;
 use anvilhook_platform::{Error, Result, Row, Table};
 
-/// The most pools that are shown.
+/// The maximum number of pools that are listed.
 const MAX_POOLS: usize = 1_000;
 
-/// `LeaseSource` tells who holds authority over which pool.
+/// `LeaseSource` lists the holders of authority over the pools.
 pub trait LeaseSource: Send + Sync + 'static {
-    /// Returns all pools that have had a holder.
+    /// Returns the leases of all pools that have ever had a holder.
     fn leases(&self) -> impl Future<Output = Result<Vec<LeaseAnswer>>> + Send;
 }
 
-/// `NoLeases` is the source of an instance that takes no authority.
+/// `NoLeases` is the source for an instance that takes no authority.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NoLeases;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// `LeaseRows` reads the pools' rows in the table.
+/// `LeaseRows` reads the leases from the pools' rows in the table.
 #[derive(Clone, Debug)]
 pub struct LeaseRows<T> {
     table: T,
@@ -34,7 +34,7 @@
 }
 
 impl<T: Table> LeaseRows<T> {
-    /// Reads the rows whose keys are the prefix and the pool's name.
+    /// Creates a source that reads the rows whose key is `prefix` followed by the pool's name.
     pub fn new(table: T, prefix: impl Into<String>) -> Self {
         Self { table, prefix: prefix.into() }
     }
--- a/crates/anvilhook-daemon/src/operators/mod.rs
+++ b/crates/anvilhook-daemon/src/operators/mod.rs
@@ -1,7 +1,7 @@
 //! The operator API: resources, watches, the audit trail and the state of the system.
 //!
-//! Reads of resources are answered from the configuration in force, so they go on while the table is
-//! down. Changes go to the table and are refused as not accepted while it cannot be asked.
+//! Reads of resources are answered from the applied configuration, so they work while the table is
+//! unavailable. Changes need the table and are refused as not accepted while it is unavailable.
 
 mod audits;
 mod changes;
@@ -34,20 +34,20 @@
 use crate::settings::OperatorRights::{Operator as MayChange, Reader as MayRead};
 use endpoints::{Answer, Authoriser, Call, Endpoint};
 
-/// `OperatorOptions` bounds what operators may ask for.
+/// `OperatorOptions` limits the resources that operators' requests may use.
 #[derive(Clone, Copy, Debug)]
 pub struct OperatorOptions {
-    /// The most watchers at once. Each costs memory, and table reads where it lags.
+    /// The maximum number of concurrent watchers. Each uses memory, and table reads if it lags.
     pub max_watchers: usize,
-    /// The most events that wait for a watcher.
+    /// The maximum number of events buffered for a watcher.
     pub watch_buffer: usize,
-    /// How long a watcher may leave a full buffer unread before it is dropped.
+    /// How long a watcher's buffer may stay full before the watcher is dropped.
     pub watch_patience: Millis,
-    /// The time between two signs of life on a quiet watch.
+    /// The interval of keep-alive comments on a watch without events.
     pub watch_keep_alive: Millis,
-    /// The pause before a watcher's changes are asked for again after an outage.
+    /// The pause before a failed read of a watcher's changes is retried.
     pub watch_retry: Millis,
-    /// The most audit entries of one answer.
+    /// The maximum number of audit entries in one answer.
     pub max_audit_entries: usize,
 }
 
@@ -64,24 +64,24 @@
     }
 }
 
-/// `OperatorParts` is what the API is made of.
+/// `OperatorParts` holds the parts that the API is built from.
 #[derive(Debug)]
 pub struct OperatorParts<T, O, L> {
-    /// The configuration in force, and changes of it.
+    /// Provides the applied configuration and makes changes.
     pub follower: ConfigurationFollower<T>,
     /// The audit trail.
     pub archive: AuditArchive<T, O>,
-    /// Who holds which lease.
+    /// The source of lease holders.
     pub leases: L,
-    /// Who may use the API.
+    /// The operators' credentials.
     pub credentials: Credentials,
     /// Ends watches when the instance stops.
     pub shutdown: Shutdown,
-    /// Draws the ids of changes whose callers chose none.
+    /// Draws the ids of changes whose callers sent none.
     pub rng: ChaCha8Rng,
-    /// Reads the time of day for the audit trail.
+    /// Reads the wall-clock time for the audit trail.
     pub wall_clock: fn() -> WallTime,
-    /// The bounds.
+    /// The limits.
     pub options: OperatorOptions,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl<T: Table, O: ObjectStore, L: LeaseSource> OperatorApi<T, O, L> {
-    /// Puts the parts together.
+    /// Creates the API from its parts.
     pub fn new(parts: OperatorParts<T, O, L>) -> Self {
         let table = parts.follower.store().table().clone();
         Self {
@@ -121,7 +121,7 @@
     }
 
     fn draw_change_id(&self) -> ChangeId {
-        // A panic while drawing leaves a generator that still draws.
+        // The generator stays usable even if another thread panicked while drawing from it.
         let mut rng = self.rng.lock().unwrap_or_else(PoisonError::into_inner);
         ChangeId::random(&mut *rng)
     }
@@ -133,7 +133,7 @@
     }
 }
 
-/// Makes the router of the API, to be merged with the other routes of the operators' front.
+/// Creates the router of the API, to be merged with the other routes of the operators' front.
 pub fn router<T: Table, O: ObjectStore, L: LeaseSource>(api: OperatorApi<T, O, L>) -> Router {
     let api = &Arc::new(api);
     let kind = get_service(endpoint(api, MayRead, resources::list)).post_service(endpoint(
@@ -172,7 +172,7 @@
     get_service(endpoint(api, MayRead, run))
 }
 
-/// Reads the machine's time of day. It is only for people to read.
+/// Returns the system's wall-clock time. It is only shown to people; no decision depends on it.
 #[expect(clippy::disallowed_methods, reason = "people read it, and nothing goes by it")]
 pub fn system_wall_time() -> WallTime {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
--- a/crates/anvilhook-daemon/src/operators/refusals.rs
+++ b/crates/anvilhook-daemon/src/operators/refusals.rs
@@ -1,9 +1,9 @@
-//! The store's errors as refusals.
+//! Converts the store's errors into refusals.
 
 use anvilhook_api::{Code, Refusal};
 use anvilhook_store::Error;
 
-/// Puts an error of a read into a refusal.
+/// Converts an error of a read into a refusal.
 pub(super) fn of_read(err: Error) -> Box<Refusal> {
     Box::new(match err {
         Error::TooOld { oldest, .. } => {
@@ -18,13 +18,14 @@
     })
 }
 
-/// Puts an error of a change into a refusal that says truly whether it was accepted.
+/// Converts an error of a change into a refusal that states whether the change was accepted, or that
+/// this is unknown.
 pub(super) fn of_change(err: Error) -> Box<Refusal> {
     let message = err.to_string();
     Box::new(match err {
         Error::Invalid(err) => of_rule(err),
         Error::Conflict { standing: Some(standing), .. } => {
-            let message = format!("{message}. Look at what stands and decide again");
+            let message = format!("{message}. Read the current version and decide again");
             Refusal { standing: Some(standing), ..Refusal::new(Code::Conflict, message) }
         }
         Error::Conflict { standing: None, .. } => Refusal::new(Code::NotFound, message),
@@ -42,7 +43,8 @@
             Refusal { change_id: Some(id), base: Some(base), ..refusal }
         }
         Error::NotAccepted { .. } => {
-            let message = format!("{message}. What is in force stays; try again later");
+            let message =
+                format!("{message}. The applied configuration stays active; try again later");
             Refusal::new(Code::NotAccepted, message)
         }
         Error::Platform(_) | Error::BadRow { .. } | Error::Reverted { .. } => {
@@ -52,7 +54,7 @@
     })
 }
 
-/// Puts a broken rule into a refusal.
+/// Converts the violation of a rule into a refusal.
 pub(super) fn of_rule(err: anvilhook_core::Error) -> Refusal {
     let message = err.to_string();
     match err {
--- a/crates/anvilhook-daemon/src/operators/resources.rs
+++ b/crates/anvilhook-daemon/src/operators/resources.rs
@@ -1,4 +1,4 @@
-//! Listing, reading, declaring, replacing and deleting resources.
+//! Lists, reads, creates, replaces and deletes resources.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use super::leases::LeaseSource;
 use super::{OperatorApi, changes, refusals};
 
-/// Answers with all resources at one revision, without their status.
+/// Answers with all resources at the applied revision, without their status.
 pub(super) async fn configuration<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     _call: Call,
@@ -44,7 +44,7 @@
     Ok(ok(&ResourceList { revision: cfg.revision(), items, status_missing }))
 }
 
-/// Answers with a resource and its status. The status is left out while the table is down.
+/// Answers with a resource and its status. The status is left out while the table is unavailable.
 pub(super) async fn get<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
@@ -59,7 +59,7 @@
         Ok(records) => {
             resource.status = records.into_iter().map(|record| record.condition).collect();
         }
-        Err(err) => log::warn!("status of {key}: {err}"),
+        Err(err) => log::warn!("failed to read the status of {key}: {err}"),
     }
     let mut answer = ok(&resource);
     if let Ok(etag) = HeaderValue::from_str(&format!("\"{}\"", resource.version.0)) {
@@ -68,7 +68,7 @@
     Ok(answer)
 }
 
-/// Declares a resource that must not exist yet.
+/// Creates a resource that must not exist yet.
 pub(super) async fn create<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
@@ -79,10 +79,10 @@
         return Err(Box::new(Refusal::bad_field("name", "the resource's name")));
     };
     let change = put(ResourceKey { kind, name }, body)?;
-    make(&api, &call, change, Expected::Absent).await
+    submit(&api, &call, change, Expected::Absent).await
 }
 
-/// Declares or replaces the resource of the path.
+/// Creates or replaces the resource that the path names.
 pub(super) async fn replace<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
@@ -91,10 +91,10 @@
     let body = read_put(&call)?;
     let expected = changes::expected(&call, body.version)?;
     let change = put(key, body)?;
-    make(&api, &call, change, expected).await
+    submit(&api, &call, change, expected).await
 }
 
-/// Deletes the resource of the path.
+/// Deletes the resource that the path names.
 pub(super) async fn delete<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
@@ -102,19 +102,19 @@
     let key = key_of(&call)?;
     let expected = changes::expected(&call, None)?;
     let change = Change { key: key.clone(), action: Action::Delete };
-    let answer = make(&api, &call, change, expected).await?;
+    let answer = submit(&api, &call, change, expected).await?;
     if answer.status().is_success() {
-        // Status that stays behind misleads nobody for long: it belongs to no resource.
+        // If this fails, the remaining status does little harm, since its resource does not exist.
         if let Err(err) = api.statuses.forget(&key).await {
-            log::warn!("status of deleted {key}: {err}");
+            log::warn!("failed to delete the status of deleted {key}: {err}");
         }
     }
     Ok(answer)
 }
 
-/// Makes a change. Every answer carries the change's id, so that a caller that loses the rest of an
-/// answer, or is refused, can still ask.
-async fn make<T: Table, O: ObjectStore, L: LeaseSource>(
+/// Submits a change. Every answer carries the change's id in a header, so that the caller can query
+/// the change's outcome even if it was refused or lost the rest of the answer.
+async fn submit<T: Table, O: ObjectStore, L: LeaseSource>(
     api: &OperatorApi<T, O, L>,
     call: &Call,
     change: Change,
@@ -146,7 +146,7 @@
     let (key, subject, id) = (&req.change.key, &req.subject, req.id);
     match result {
         Ok(accepted) => log::info!("{key} changed by {subject} as {}, {id}", accepted.revision),
-        Err(err) => log::info!("change of {key} by {subject}, {id}: {err}"),
+        Err(err) => log::info!("change of {key} by {subject} not confirmed, {id}: {err}"),
     }
 }
 
@@ -182,7 +182,7 @@
     Ok(ResourceKey { kind: kind_of(call)?, name })
 }
 
-/// Gives each resource the conditions that were observed of it.
+/// Adds to each resource the conditions that were observed of it.
 fn fill_in(items: &mut [Resource], records: Vec<StatusRecord>) {
     for record in records {
         let found = items.binary_search_by(|item| item.name.cmp(&record.key.name));
--- a/crates/anvilhook-daemon/src/operators/statuses.rs
+++ b/crates/anvilhook-daemon/src/operators/statuses.rs
@@ -1,4 +1,4 @@
-//! The state of the system, and what a resource waits for.
+//! Reports the state of the system, and what a resource waits for.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 use super::leases::LeaseSource;
 use super::resources::key_of;
 
-/// Answers with the instances, the revisions in force on them, and the lease holders.
+/// Answers with the instances, their applied revisions, and the lease holders.
 pub(super) async fn status<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     _call: Call,
@@ -36,7 +36,7 @@
     Ok(ok(&answer))
 }
 
-/// `Fleet` is what the table says of the instances.
+/// `Fleet` is the state of the instances in the table.
 struct Fleet {
     head: Revision,
     instances: Vec<InstanceRecord>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Answers why a resource is not as it was declared.
+/// Answers why a resource is not in its declared state.
 pub(super) async fn why<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
@@ -83,7 +83,7 @@
     Ok(ok(&WhyAnswer { key, wanted, observed, waiting, last_change, lagging, missing }))
 }
 
-/// `Known` is what the table says of a resource beside its declaration.
+/// `Known` is the state of a resource in the table, without its declaration.
 #[derive(Default)]
 struct Known {
     observed: Vec<Observation>,
@@ -100,9 +100,9 @@
     let Some(wanted) = wanted else { return Ok(Known { observed, ..Known::default() }) };
     let last_change = match api.archive.list(wanted.version, 1).await {
         Ok(entries) => entries.into_iter().next(),
-        // Without the object store an archived change is not shown; the rest is.
+        // While the object store is unavailable, only an archived change is missing in the answer.
         Err(Error::Platform(err)) => {
-            log::warn!("the change that declared {key}: {err}");
+            log::warn!("failed to read the change that declared {key}: {err}");
             None
         }
         Err(err) => return Err(err),
--- a/crates/anvilhook-daemon/src/operators/watches.rs
+++ b/crates/anvilhook-daemon/src/operators/watches.rs
@@ -1,8 +1,8 @@
-//! Watching changes as they are accepted.
+//! Streams changes to watchers as they are accepted.
 //!
-//! A watcher reads the instance's shared history at its own pace; only a small buffer is its own. A
-//! watcher that leaves the buffer full is dropped, and one that lags behind what the history and the
-//! table keep is told to start anew.
+//! All watchers read the instance's shared history, each at its own pace, and each has only a small
+//! buffer of its own. A watcher whose buffer stays full is dropped. A watcher that lags behind the
+//! retained history gets a `too-old` event and must start again.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -23,23 +23,23 @@
 use super::leases::LeaseSource;
 use super::{OperatorApi, refusals};
 
-/// The most changes that are taken from the history at once.
+/// The maximum number of changes read from the history at once.
 const BATCH: usize = 256;
 
-/// The header by which a watcher that reconnects says which event it saw last.
+/// The header in which a reconnecting watcher sends the id of the last event that it received.
 const LAST_EVENT_ID: &str = "last-event-id";
 
-/// Answers with the changes after a revision, and with those to come.
+/// Answers with a stream of all changes after a revision, including future ones.
 pub(super) async fn watch<T: Table, O: ObjectStore, L: LeaseSource>(
     api: Arc<OperatorApi<T, O, L>>,
     call: Call,
 ) -> Answer {
     let from = first_revision(&api, &call)?;
     let Ok(permit) = Arc::clone(&api.watchers).try_acquire_owned() else {
-        let message = "the instance has as many watchers as it takes; watch at another one";
+        let message = "the instance has reached its limit of watchers; watch at another one";
         return Err(Box::new(Refusal::new(Code::TooManyWatchers, message)));
     };
-    // A watcher that is too far behind is told so by the status, before any event.
+    // A watcher that is too far behind gets an error status here, before any event.
     api.follower.changes_since(from, 1).await.map_err(refusals::of_read)?;
 
     let (tx, rx) = mpsc::channel(api.options.watch_buffer);
@@ -63,15 +63,15 @@
     Ok(call.parameters.from.map_or_else(|| api.follower.revision(), Revision))
 }
 
-/// `Ended` says that a watcher is to be left alone.
+/// `Ended` means that a watch has ended and no further event is sent.
 struct Ended;
 
-/// `Watcher` sends one watcher its events.
+/// `Watcher` sends events to one watcher.
 struct Watcher<T, O, L> {
     api: Arc<OperatorApi<T, O, L>>,
     sent: Revision,
     tx: mpsc::Sender<WatchEvent>,
-    /// Held as long as the watcher counts.
+    /// Counts the watcher towards the limit until dropped.
     _permit: OwnedSemaphorePermit,
 }
 
@@ -82,7 +82,7 @@
         tokio::select! {
             Ended = self.feed() => {}
             () = closed.closed() => {}
-            // A watch never ends by itself and would hold up the instance's stop.
+            // A watch never ends by itself and would delay the instance's stop.
             () = api.shutdown.reached(Phase::Draining) => {}
         }
     }
@@ -100,7 +100,8 @@
         }
     }
 
-    /// Sends all changes up to the revision in force, and that nothing is missing up to there.
+    /// Sends all changes up to the applied revision, and then a bookmark, which confirms that the
+    /// watcher has received everything up to there.
     async fn catch_up(&mut self) -> Result<(), Ended> {
         while self.sent < self.api.follower.revision() {
             match self.api.follower.changes_since(self.sent, BATCH).await {
@@ -109,10 +110,10 @@
                     self.send(WatchEvent::TooOld { revision: self.sent }).await?;
                     return Err(Ended);
                 }
-                // What the history lacks is in the table, which cannot be read now or is itself behind.
-                // The watcher waits: leaving the changes out would leave it wrong for good.
+                // The missing changes are in the table, which is unavailable or itself behind. The
+                // watcher waits, because its state would stay incorrect if changes were skipped.
                 waiting => {
-                    log::warn!("a watcher at {} waits for the table: {waiting:?}", self.sent);
+                    log::warn!("watcher at {} waits for the table: {waiting:?}", self.sent);
                     tokio::time::sleep(self.api.options.watch_retry.as_duration()).await;
                 }
             }
@@ -129,11 +130,11 @@
     }
 
     async fn send(&self, event: WatchEvent) -> Result<(), Ended> {
-        let patience: Duration = self.api.options.watch_patience.as_duration();
-        match tokio::time::timeout(patience, self.tx.send(event)).await {
+        let limit: Duration = self.api.options.watch_patience.as_duration();
+        match tokio::time::timeout(limit, self.tx.send(event)).await {
             Ok(sent) => sent.map_err(|_| Ended),
             Err(_elapsed) => {
-                log::warn!("a watcher at {} reads too slowly and is dropped", self.sent);
+                log::warn!("watcher at {} dropped because it reads too slowly", self.sent);
                 Err(Ended)
             }
         }
@@ -154,7 +155,7 @@
 
 fn encode(event: &WatchEvent) -> Event {
     let id = event.revision().0.to_string();
-    // Names and specs always encode; an event without data would be skipped by its reader.
+    // Encoding names and specs does not fail; if it did, clients would skip the event without data.
     let data = serde_json::to_string(event).unwrap_or_default();
     Event::new().event(event.name()).id(id).data(data)
 }
--- a/crates/anvilhook-daemon/src/settings/checks.rs
+++ b/crates/anvilhook-daemon/src/settings/checks.rs
@@ -1,5 +1,4 @@
-//! The rules of single fields. Each is applied while the file is read, so that an error carries the
-//! line.
+//! Checks single fields while the file is parsed, so that an error includes the line number.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,22 +11,22 @@
 use super::{LeaseSettings, ListenSettings, OperatorSettings};
 use crate::names::SUFFIX_LEN;
 
-/// The longest name prefix: a hyphen and the random part must still fit in a name.
+/// The maximum length of a name prefix: a hyphen and the random suffix must still fit in a name.
 pub const MAX_NAME_PREFIX_LEN: usize = MAX_NAME_LEN - SUFFIX_LEN - 1;
 
-/// The longest span that any setting may ask for.
+/// The longest time span that a setting may have.
 const MAX_SPAN: Millis = Millis::from_secs(3_600);
 
-/// The fewest bytes of a peer key.
+/// The minimum length of a peer key, in bytes.
 const MIN_KEY_LEN: usize = anvilhook_peer::keys::MIN_KEY_BYTES;
 
-/// The smallest and the largest bound on a request's head.
+/// The allowed range of the limit on a request's headers, in bytes.
 const HEADER_BYTES: std::ops::RangeInclusive<u32> = 1_024..=1_048_576;
 
-/// The length of a SHA-256 digest in hexadecimal.
+/// The length of a SHA-256 digest in hexadecimal digits.
 const DIGEST_LEN: usize = 64;
 
-/// `PlainListen` is `ListenSettings` before the addresses are compared.
+/// `PlainListen` is the parsed form of `ListenSettings` before the addresses are compared.
 #[derive(serde::Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlainListen {
@@ -51,7 +50,7 @@
     }
 }
 
-/// `PlainLeases` is `LeaseSettings` before the spans are compared.
+/// `PlainLeases` is the parsed form of `LeaseSettings` before the spans are compared.
 #[derive(serde::Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlainLeases {
@@ -76,7 +75,7 @@
         if guard_ms.0.saturating_mul(2) > length_ms.0 {
             return Err("expected guard_ms to be at most half of length_ms".to_owned());
         }
-        // The rest is for the rules of leases to say, which name their fields by themselves.
+        // The remaining rules are checked by `LeaseOptions`, whose errors name the fields.
         let leases = Self { length_ms, guard_ms };
         match leases.options().check() {
             Ok(()) => Ok(leases),
@@ -89,7 +88,7 @@
     }
 }
 
-/// Reads operators, no two of whom may share a subject or a token.
+/// Parses the operators and rejects duplicate subjects and tokens.
 pub fn distinct_operators<'de, D: Deserializer<'de>>(
     de: D,
 ) -> Result<Vec<OperatorSettings>, D::Error> {
@@ -108,7 +107,7 @@
     Ok(operators)
 }
 
-/// Reads the beginning of an instance's name.
+/// Parses the prefix of an instance's name.
 pub fn name_prefix<'de, D: Deserializer<'de>>(de: D) -> Result<String, D::Error> {
     let text = String::deserialize(de)?;
     if text.len() > MAX_NAME_PREFIX_LEN {
@@ -118,7 +117,7 @@
     Ok(text)
 }
 
-/// Reads an address to connect to, whose port cannot be 0.
+/// Parses an address to connect to, whose port can't be 0.
 pub fn remote_address<'de, D: Deserializer<'de>>(de: D) -> Result<SocketAddr, D::Error> {
     let address = SocketAddr::deserialize(de)?;
     if address.port() == 0 {
@@ -127,7 +126,7 @@
     Ok(address)
 }
 
-/// Reads a span that is neither zero nor longer than an hour.
+/// Parses a time span that is neither zero nor longer than an hour.
 pub fn positive_millis<'de, D: Deserializer<'de>>(de: D) -> Result<Millis, D::Error> {
     let span = Millis::deserialize(de)?;
     if span == Millis::ZERO || span > MAX_SPAN {
@@ -136,13 +135,13 @@
     Ok(span)
 }
 
-/// Reads a count of at least 1.
+/// Parses a count of at least 1.
 pub fn positive_count<'de, D: Deserializer<'de>>(de: D) -> Result<u32, D::Error> {
     let count = u32::deserialize(de)?;
     if count == 0 { Err(D::Error::custom("expected at least 1")) } else { Ok(count) }
 }
 
-/// Reads a bound on a request's head.
+/// Parses the limit on the size of a request's headers.
 pub fn header_bytes<'de, D: Deserializer<'de>>(de: D) -> Result<u32, D::Error> {
     let bytes = u32::deserialize(de)?;
     if HEADER_BYTES.contains(&bytes) {
@@ -152,7 +151,7 @@
     Err(D::Error::custom(format!("expected {least} to {most} bytes")))
 }
 
-/// Reads a SHA-256 digest.
+/// Parses a SHA-256 digest.
 pub fn sha256_digest<'de, D: Deserializer<'de>>(de: D) -> Result<String, D::Error> {
     let text = String::deserialize(de)?.to_ascii_lowercase();
     let is_digest = text.len() == DIGEST_LEN && text.bytes().all(|byte| byte.is_ascii_hexdigit());
@@ -163,7 +162,7 @@
     }
 }
 
-/// Reads the key of the peer link.
+/// Parses the key of the peer link.
 pub fn peer_key<'de, D: Deserializer<'de>>(de: D) -> Result<String, D::Error> {
     let text = String::deserialize(de)?;
     if text.len() < MIN_KEY_LEN {
@@ -172,7 +171,7 @@
     Ok(text)
 }
 
-/// Reads a weight.
+/// Parses a weight, which is finite and at least 0.
 pub fn weight<'de, D: Deserializer<'de>>(de: D) -> Result<f64, D::Error> {
     let weight = f64::deserialize(de)?;
     if weight.is_finite() && weight >= 0.0 {
--- a/crates/anvilhook-daemon/src/settings/files.rs
+++ b/crates/anvilhook-daemon/src/settings/files.rs
@@ -1,4 +1,4 @@
-//! Reading the settings file, and the one error of it.
+//! Reads the settings file and reports errors with their place in it.
 
 use std::fmt;
 use std::fs::File;
@@ -7,24 +7,24 @@
 
 use super::Settings;
 
-/// The largest settings file, in bytes.
+/// The maximum size of a settings file, in bytes.
 const MAX_FILE_BYTES: u64 = 1 << 20;
 
-/// The section that holds a secret, its one field, and what is told of any other there.
+/// The section that contains a secret, its only field, and the message about any other field there.
 const SECRET_SECTION: &str = "peers";
 const SECRET_FIELD: &str = "key";
-const UNKNOWN_BESIDE_SECRET: &str = "unknown field, expected one of key";
+const UNKNOWN_IN_SECRET_SECTION: &str = "unknown field, expected one of key";
 
-/// `SettingsError` says where a settings file is wrong, and how.
+/// `SettingsError` describes an error in a settings file and its place.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct SettingsError {
     /// The file.
     pub file: PathBuf,
-    /// The line, from 1, if the error lies at one.
+    /// The line of the error, counted from 1, if it has one.
     pub line: Option<u64>,
-    /// The path of the field, such as `limits.open_requests`, if the error lies at one.
+    /// The path of the invalid field, such as `limits.open_requests`, if there is one.
     pub field: Option<String>,
-    /// What is wrong.
+    /// The description of the error.
     pub message: String,
 }
 
@@ -47,7 +47,7 @@
 ///
 /// # Errors
 ///
-/// A `SettingsError` if the file cannot be read or breaks a rule.
+/// A `SettingsError` if the file can't be read or breaks a rule.
 pub fn load(file: &Path) -> Result<Settings, SettingsError> {
     let text = read_bounded(file).map_err(|err| SettingsError {
         file: file.to_owned(),
@@ -58,7 +58,8 @@
     parse(file, &text)
 }
 
-/// Reads a file of a sound size. One without end would take all memory, and the process with it.
+/// Reads a file up to the maximum size. An endless file, such as `/dev/zero`, would otherwise use up
+/// all memory.
 fn read_bounded(file: &Path) -> io::Result<String> {
     let mut text = String::new();
     File::open(file)?.take(MAX_FILE_BYTES + 1).read_to_string(&mut text)?;
@@ -69,7 +70,7 @@
     Ok(text)
 }
 
-/// Checks the text of a settings file. The file's name only stands in the error.
+/// Parses and checks the text of a settings file. The file's name is used only in errors.
 ///
 /// # Errors
 ///
@@ -95,17 +96,17 @@
 }
 
 fn describe(file: &Path, err: &serde_saphyr::Error, field: Option<String>) -> SettingsError {
-    // Without its excerpt of the file the message is one line and shows no secret.
+    // Without the excerpt of the file, the message is one line and contains no secret.
     let rendered = err.without_snippet().render_with_formatter(&serde_saphyr::UserMessageFormatter);
     let first_line = rendered.lines().next().unwrap_or("cannot be parsed");
 
-    // The library ends its message with the place, which stands at the beginning here.
+    // The library puts the place at the end of its message; here it is shown at the beginning.
     let place = err.location().map(|at| format!(" at line {}, column {}", at.line(), at.column()));
     let message = place.and_then(|place| first_line.strip_suffix(&place)).unwrap_or(first_line);
 
     let (field, message) = match field.and_then(|path| known_part(&path)) {
-        Some(path) if is_beside_secret(&path) => {
-            (Some(SECRET_SECTION.to_owned()), UNKNOWN_BESIDE_SECRET.to_owned())
+        Some(path) if is_unknown_in_secret_section(&path) => {
+            (Some(SECRET_SECTION.to_owned()), UNKNOWN_IN_SECRET_SECTION.to_owned())
         }
         path => (path, explain(message)),
     };
@@ -117,21 +118,22 @@
     }
 }
 
-/// Returns whether a path names an unknown field of the section with the secret. Where a colon is lost,
-/// the secret is a part of that name, and an error that tells it puts it into logs.
-fn is_beside_secret(path: &str) -> bool {
+/// Returns whether a path names an unknown field in the section that contains the secret. If the colon
+/// after the key is missing, the secret becomes part of the field's name, and an error with that name
+/// would put the secret into logs.
+fn is_unknown_in_secret_section(path: &str) -> bool {
     let name = path.strip_prefix(SECRET_SECTION).and_then(|rest| rest.strip_prefix('.'));
     name.is_some_and(|name| name != SECRET_FIELD)
 }
 
-/// Returns the part of a field's path that is known; `?` stands for a part that is not, and `.` for
-/// the whole file.
+/// Returns the known part of a field's path, if any. In the library's paths, `?` stands for an unknown
+/// part and `.` for the whole file.
 fn known_part(path: &str) -> Option<String> {
     let known = path.trim_end_matches('?').trim_end_matches('.');
     (!known.is_empty()).then(|| known.to_owned())
 }
 
-/// Puts the library's terse message on numbers into words.
+/// Replaces the library's terse messages about numbers with descriptions of the expected value.
 fn explain(message: &str) -> String {
     match message {
         "invalid u32" | "invalid u64" => "expected a whole number of at least 0".to_owned(),
--- a/crates/anvilhook-daemon/src/settings/mod.rs
+++ b/crates/anvilhook-daemon/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance, read from a YAML file.
 //!
-//! Every field is checked when the file is read. A file with an unknown field, a bad value or a
-//! missing field is refused as a whole with one error that names the file, the line and the field.
+//! Every field is checked when the file is read. A file with an unknown, invalid or missing field is
+//! rejected as a whole with one error that names the file, the line and the field.
 
 mod checks;
 mod files;
@@ -19,75 +19,75 @@
 pub use checks::MAX_NAME_PREFIX_LEN;
 pub use files::{SettingsError, load, parse};
 
-/// How many renewals fall into the length of a lease.
+/// How many times a lease is renewed within its length.
 const RENEWALS_PER_LEASE: u64 = 3;
 
-/// `Settings` is what an instance is told at its start.
+/// `Settings` holds the settings of an instance.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Settings {
-    /// What the instance is and where it stands.
+    /// The instance's name prefix and availability zone.
     pub instance: InstanceSettings,
-    /// Where it listens.
+    /// The addresses that it listens on.
     pub listen: ListenSettings,
-    /// Where the platform's services are.
+    /// How to reach the platform's services.
     pub platform: PlatformSettings,
-    /// Who may use the operator API.
+    /// The operators who may use the operator API.
     #[serde(default, deserialize_with = "checks::distinct_operators")]
     pub operators: Vec<OperatorSettings>,
-    /// How it logs.
+    /// The format and level of logs.
     #[serde(default)]
     pub logging: LoggingSettings,
-    /// Bounds on what callers may ask of this instance.
+    /// The limits on callers' requests.
     #[serde(default)]
     pub limits: LimitSettings,
-    /// How often it asks for news.
+    /// The polling intervals.
     #[serde(default)]
     pub polling: PollingSettings,
-    /// How it holds authority.
+    /// The lengths of leases.
     #[serde(default)]
     pub leases: LeaseSettings,
     /// The link to the other instances.
     pub peers: PeerSettings,
-    /// How it plans roles.
+    /// The planning of roles.
     #[serde(default)]
     pub roles: RoleSettings,
-    /// What this deployment values.
+    /// The weights of this deployment's goals.
     #[serde(default)]
     pub weights: WeightSettings,
 }
 
-/// `InstanceSettings` says what the instance is and where it stands.
+/// `InstanceSettings` holds the instance's name prefix and availability zone.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct InstanceSettings {
-    /// The beginning of the running name; a random part for each start of the process follows.
+    /// The prefix of the running name; each start of the process adds a random suffix.
     #[serde(deserialize_with = "checks::name_prefix")]
     pub name_prefix: String,
     /// The availability zone.
     pub zone: ZoneName,
 }
 
-/// `ListenSettings` holds the addresses to listen on. Port 0 lets the kernel choose.
+/// `ListenSettings` holds the addresses to listen on. With port 0, the kernel chooses the port.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(try_from = "checks::PlainListen")]
 pub struct ListenSettings {
-    /// For callers.
+    /// The address for callers.
     pub callers: SocketAddr,
-    /// For operators, metrics and probes.
+    /// The address for operators, metrics and probes.
     pub operators: SocketAddr,
-    /// For other instances.
+    /// The address for other instances.
     pub peers: SocketAddr,
 }
 
-/// `PlatformSettings` says where the platform's services are.
+/// `PlatformSettings` describes how to reach the platform's services.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct PlatformSettings {
-    /// Their address.
+    /// The address of the services.
     #[serde(deserialize_with = "checks::remote_address")]
     pub address: SocketAddr,
-    /// The longest time that one call of them may take.
+    /// The timeout of one call.
     #[serde(default = "default_platform_timeout", deserialize_with = "checks::positive_millis")]
     pub timeout_ms: Millis,
 }
@@ -96,30 +96,30 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
-    /// The name in the audit trail.
+    /// The operator's name in the audit trail.
     pub subject: SubjectName,
     /// The SHA-256 digest of the bearer token, in hexadecimal.
     #[serde(deserialize_with = "checks::sha256_digest")]
     pub token_sha256: String,
-    /// What the operator may do.
+    /// The operator's rights.
     pub rights: OperatorRights,
 }
 
-/// `OperatorRights` says what an operator may do.
+/// `OperatorRights` is the set of actions that an operator may take.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperatorRights {
-    /// Read resources, status and the audit trail.
+    /// May read resources, status and the audit trail.
     Reader,
-    /// Change resources besides.
+    /// May also change resources.
     Operator,
 }
 
-/// `LoggingSettings` says how the instance logs.
+/// `LoggingSettings` holds the format and level of logs.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LoggingSettings {
-    /// The form of a line.
+    /// The format of a line.
     pub format: LogFormat,
     /// The least severe level that is written.
     pub level: LogLevel,
@@ -131,13 +131,13 @@
     }
 }
 
-/// `LogFormat` is the form of a log line.
+/// `LogFormat` is the format of a log line.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
@@ -145,24 +145,24 @@
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogLevel {
-    /// Something failed that should not.
+    /// An unexpected failure.
     Error,
-    /// Something is not as it should be.
+    /// An abnormal condition.
     Warn,
-    /// What an operator wants to know of a sound instance.
+    /// Notable events of a healthy instance.
     Info,
-    /// One line or more for each request.
+    /// Details, with one or more lines for each request.
     Debug,
 }
 
-/// `LimitSettings` bounds what callers may ask of one instance.
+/// `LimitSettings` limits callers' requests at one instance.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct LimitSettings {
-    /// The most requests open at once.
+    /// The maximum number of open requests.
     #[serde(deserialize_with = "checks::positive_count")]
     pub open_requests: u32,
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request's headers, in bytes.
     #[serde(deserialize_with = "checks::header_bytes")]
     pub header_bytes: u32,
 }
@@ -173,17 +173,17 @@
     }
 }
 
-/// `PollingSettings` says how often the instance asks for news.
+/// `PollingSettings` holds the intervals at which the instance polls for updates.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PollingSettings {
-    /// The time between two readings of the configuration's revision.
+    /// The time between two reads of the configuration's revision.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub configuration_ms: Millis,
-    /// The time between two readings of an engine's load report.
+    /// The time between two reads of an engine's load report.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub reports_ms: Millis,
-    /// The time between two readings of the platform's list.
+    /// The time between two reads of the platform's list.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub instance_list_ms: Millis,
 }
@@ -198,18 +198,18 @@
     }
 }
 
-/// `LeaseSettings` says how the instance holds authority over engines.
+/// `LeaseSettings` holds the lengths of leases, by which the instance has authority over engines.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(try_from = "checks::PlainLeases")]
 pub struct LeaseSettings {
-    /// How long a lease lasts after its renewal.
+    /// How long a lease is valid after its renewal.
     pub length_ms: Millis,
-    /// How long before the lease's end its holder stops giving orders.
+    /// How long before the end of its lease a holder stops giving orders.
     pub guard_ms: Millis,
 }
 
 impl LeaseSettings {
-    /// Returns all lengths that leases rest on.
+    /// Returns the lease options, with defaults for those that are not settings.
     pub fn options(&self) -> LeaseOptions {
         LeaseOptions {
             length_ms: self.length_ms,
@@ -252,20 +252,20 @@
     }
 }
 
-/// `RoleSettings` says how often the roles of a pool are planned, and how far ahead.
+/// `RoleSettings` holds how often the roles of a pool are planned, and for how long ahead.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RoleSettings {
     /// The time between two plans.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub plan_every_ms: Millis,
-    /// How long a change takes an engine out of service, its drain included.
+    /// How long a role change takes an engine out of service, including its drain.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub change_ms: Millis,
-    /// The time for which a plan is made.
+    /// How far ahead a plan is made.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub horizon_ms: Millis,
-    /// The time over which what was seen loses its weight.
+    /// The time over which observed work loses its weight.
     #[serde(deserialize_with = "checks::positive_millis")]
     pub memory_ms: Millis,
 }
@@ -282,11 +282,11 @@
     }
 }
 
-/// `WeightSettings` says what this deployment values.
+/// `WeightSettings` holds the weights of this deployment's goals.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct WeightSettings {
-    /// The cost of a role change against the goodput that it gains, where a pool names none.
+    /// The cost of a role change relative to the goodput that it gains, for pools that set none.
     #[serde(deserialize_with = "checks::weight")]
     pub role_change: f64,
 }
