--- a/crates/anvilhook-daemon/src/front/limits.rs
+++ b/crates/anvilhook-daemon/src/front/limits.rs
@@ -82,7 +82,8 @@
 }
 
 impl BodyEnd {
-    /// Returns a `BodyEnd` to be stored in a body, and a receiver that completes when it is dropped.
+    /// Returns a `BodyEnd` to be stored in a body, and a receiver that completes when it is
+    /// dropped.
     pub fn new() -> (Self, oneshot::Receiver<Infallible>) {
         let (tx, rx) = oneshot::channel();
         (Self { _end: tx }, rx)
@@ -92,8 +93,8 @@
 impl Flight {
     /// Counts the request as in flight until its answer's body ends, at most for `time_left`.
     ///
-    /// Without this limit, a caller that stays connected without reading would delay a graceful stop
-    /// indefinitely. After the deadline the answer is no longer of use.
+    /// Without this limit, a caller that stays connected without reading would delay a graceful
+    /// stop indefinitely. After the deadline the answer is no longer of use.
     pub async fn until_end(self, end: oneshot::Receiver<Infallible>, time_left: Millis) {
         let _ = tokio::time::timeout(time_left.as_duration(), end).await;
     }
--- a/crates/anvilhook-daemon/src/front/metrics.rs
+++ b/crates/anvilhook-daemon/src/front/metrics.rs
@@ -1,7 +1,8 @@
 //! Metrics of the caller front, stored in atomics.
 //!
-//! The metrics library's families and histograms take a lock at each observation. Here, each service
-//! has its counters in arrays of atomics, which the library reads only when metrics are scraped.
+//! The metrics library's families and histograms take a lock at each observation. Here, each
+//! service has its counters in arrays of atomics, which the library reads only when metrics are
+//! scraped.
 
 use std::fmt;
 use std::sync::Arc;
--- a/crates/anvilhook-daemon/src/front/mod.rs
+++ b/crates/anvilhook-daemon/src/front/mod.rs
@@ -147,8 +147,9 @@
             .fallback(move |req| async move { other.unknown(req).await })
     }
 
-    /// Applies a configuration to the requests that arrive from now on. `instances` is the number of
-    /// running instances; account limits are divided by it until peers have published their demand.
+    /// Applies a configuration to the requests that arrive from now on. `instances` is the number
+    /// of running instances; account limits are divided by it until peers have published their
+    /// demand.
     pub fn apply(&self, cfg: &Configuration, instances: usize) {
         self.apply_with(cfg, instances, |_upstreams| {});
     }
@@ -196,8 +197,8 @@
         self.inner.flights.idle().await;
     }
 
-    /// Returns how many requests of this instance are in flight at an upstream, including those that
-    /// began before it was undeclared and declared again.
+    /// Returns how many requests of this instance are in flight at an upstream, including those
+    /// that began before it was undeclared and declared again.
     ///
     /// A drain must mark the upstream before it calls this; see `proxy::in_flight_at`.
     pub fn in_flight_at(&self, upstream: &UpstreamName) -> u64 {
--- a/crates/anvilhook-daemon/src/front/plains.rs
+++ b/crates/anvilhook-daemon/src/front/plains.rs
@@ -92,8 +92,8 @@
             result.map(|answer| (answer, flight))
         });
         let (answer, flight) = running.await.unwrap_or_else(|err| {
-            let message = format!("the request's task failed: {err}");
-            let failure = Failure::not_run(Code::UpstreamFailed, message);
+            let failure =
+                Failure::not_run(Code::UpstreamFailed, format!("the request's task failed: {err}"));
             Err(Failure { verdict: Verdict::MayHaveRun, ..failure })
         })?;
         let answer = answers::answered(answer, id);
--- a/crates/anvilhook-daemon/src/front/states.rs
+++ b/crates/anvilhook-daemon/src/front/states.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// Returns whether `prefix` matches whole leading segments of a path: `/alerts` matches `/alerts/7`,
-/// but not `/alertsx`.
+/// Returns whether `prefix` matches whole leading segments of a path: `/alerts` matches
+/// `/alerts/7`, but not `/alertsx`.
 fn is_below(path: &str, prefix: &str) -> bool {
     let prefix = prefix.trim_end_matches('/');
     path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
@@ -128,8 +128,8 @@
     /// answers an earlier request, and draining it would truncate that answer.
     ///
     /// Each upstream is retired before its requests are counted: a request that chose it from an
-    /// earlier state is either counted here or sees that the upstream accepts no work, so no request
-    /// begins at an upstream that is not retained.
+    /// earlier state is either counted here or sees that the upstream accepts no work, so no
+    /// request begins at an upstream that is not retained.
     fn retire_undeclared(&mut self, earlier: &FrontState) {
         let is_declared = |state: &Arc<UpstreamState>| {
             self.upstreams.get(state.name()).is_some_and(|declared| Arc::ptr_eq(declared, state))
--- a/crates/anvilhook-daemon/src/instances/archives.rs
+++ b/crates/anvilhook-daemon/src/instances/archives.rs
@@ -9,8 +9,8 @@
 use super::tasks::sleep_for;
 use crate::operators::system_wall_time;
 
-/// The mean time between two checks by one instance for entries that are old enough. Each check costs
-/// three reads, so even hundreds of instances together read only about twice a second.
+/// The mean time between two checks by one instance for entries that are old enough. Each check
+/// costs three reads, so even hundreds of instances together read only about twice a second.
 const MEAN_PAUSE: Millis = Millis::from_secs(600);
 
 /// Archives and prunes entries that are old enough, until it is dropped.
--- a/crates/anvilhook-daemon/src/instances/authorities.rs
+++ b/crates/anvilhook-daemon/src/instances/authorities.rs
@@ -27,7 +27,8 @@
 use crate::operators::system_wall_time;
 use crate::proxy::Claims;
 
-/// The pause between two steps of the controller. It must be well below the guard interval of leases.
+/// The pause between two steps of the controller. It must be well below the guard interval of
+/// leases.
 const STEP_PAUSE: Millis = Millis(250);
 
 /// The kind and the reason of the condition that describes a pool's planned roles.
@@ -37,8 +38,8 @@
 /// The pause between two reads of the drain marks until requests may be routed.
 const START_PAUSE: Millis = Millis(50);
 
-/// `Acknowledged` holds the acknowledgements that this instance publishes over the peer link. Clones
-/// share them.
+/// `Acknowledged` holds the acknowledgements that this instance publishes over the peer link.
+/// Clones share them.
 #[derive(Clone, Debug)]
 pub(super) struct Acknowledged {
     link: PeerHandle,
@@ -81,7 +82,7 @@
             let was_announced = *self.announced.borrow();
             match self.follower.poll().await {
                 Ok(_changed) => {
-                    self.mark();
+                    self.apply_marks();
                     // The shares of account limits depend on the number of instances.
                     if was_announced && *self.instances.borrow() > 0 {
                         self.routable.send_replace(true);
@@ -102,10 +103,10 @@
     }
 
     /// Applies the marks to routing. A drain may be acknowledged only after this.
-    fn mark(&self) {
+    fn apply_marks(&self) {
         let draining = self.follower.draining().cloned().collect();
         self.marks.replace(MarkSource::Drained, draining);
-        self.marks.carry_over(self.front.state().upstreams());
+        self.marks.apply_to(self.front.state().upstreams());
     }
 
     async fn acknowledge(&mut self) {
@@ -215,8 +216,8 @@
         engines.collect()
     }
 
-    /// Returns the estimated work of a pool since its last plan. The balancer spreads callers evenly
-    /// over the instances, so this instance's own work is multiplied by their number.
+    /// Returns the estimated work of a pool since its last plan. The balancer spreads callers
+    /// evenly over the instances, so this instance's own work is multiplied by their number.
     fn seen_work(&self, pool: &PoolName, now: Millis) -> ObservedWork {
         let span = self.planners.span(pool, now).unwrap_or_default();
         let state = self.front.state();
--- a/crates/anvilhook-daemon/src/instances/caches.rs
+++ b/crates/anvilhook-daemon/src/instances/caches.rs
@@ -17,8 +17,8 @@
 /// The maximum number of engines polled at once.
 const MAX_CONCURRENT_POLLS: usize = 32;
 
-/// The maximum number of engines polled per second. With more engines, each is polled less often; an
-/// outdated estimate of a cache costs time but never gives a wrong answer.
+/// The maximum number of engines polled per second. With more engines, each is polled less often;
+/// an outdated estimate of a cache costs time but never gives a wrong answer.
 const MAX_POLLS_PER_S: u64 = 64;
 
 /// `CachePoller` keeps the estimate of the engines' prefix caches up to date.
--- a/crates/anvilhook-daemon/src/instances/handles.rs
+++ b/crates/anvilhook-daemon/src/instances/handles.rs
@@ -16,7 +16,8 @@
 use super::tasks::Tasks;
 use crate::observability::Readiness;
 
-/// `Addresses` holds the addresses that an instance listens on, with the ports that the kernel chose.
+/// `Addresses` holds the addresses that an instance listens on, with the ports that the kernel
+/// chose.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Addresses {
     /// The address for callers.
@@ -87,7 +88,7 @@
 
     /// Stops the link to the peers permanently, like a network partition. All other parts keep
     /// running.
-    pub fn cut_link(&self) {
+    pub fn stop_peer_link(&self) {
         self.link.stop();
     }
 
@@ -97,8 +98,8 @@
         self.shutdown.advance(Phase::Draining);
     }
 
-    /// Stops gracefully: refuses new requests as not run, waits without a time limit for all requests
-    /// in flight, then closes.
+    /// Stops gracefully: refuses new requests as not run, waits without a time limit for all
+    /// requests in flight, then closes.
     pub async fn stop(self) {
         self.begin_stop();
         log::info!("waiting for {} requests in flight", self.front.in_flight());
--- a/crates/anvilhook-daemon/src/instances/hints.rs
+++ b/crates/anvilhook-daemon/src/instances/hints.rs
@@ -3,8 +3,8 @@
 use anvilhook_authority::{DrainHint, PeerHints, TermHint};
 use anvilhook_peer::PeerHandle;
 
-/// Returns the acknowledgements received over the peer link. They only save time; decisions are based
-/// on the table.
+/// Returns the acknowledgements received over the peer link. They only save time; decisions are
+/// based on the table.
 pub fn peer_hints(link: &PeerHandle) -> PeerHints {
     let view = link.view();
     let mut hints = PeerHints::default();
--- a/crates/anvilhook-daemon/src/instances/loads.rs
+++ b/crates/anvilhook-daemon/src/instances/loads.rs
@@ -36,8 +36,8 @@
 }
 
 impl TimedReport {
-    /// Returns whether this report is newer than the known one. Sequence numbers start again when an
-    /// engine restarts, so reports of different boots are compared by time.
+    /// Returns whether this report is newer than the known one. Sequence numbers start again when
+    /// an engine restarts, so reports of different boots are compared by time.
     fn is_newer(&self, known: Option<&TimedReport>) -> bool {
         known.is_none_or(|known| {
             if known.report.boot == self.report.boot {
@@ -119,7 +119,7 @@
                             (engine, answer)
                         });
                     }
-                    self.marks.carry_over(self.front.state().upstreams());
+                    self.marks.apply_to(self.front.state().upstreams());
                 }
                 // An engine that does not answer delays only its own next read.
                 Some((engine, answer)) = reads.next() => {
--- a/crates/anvilhook-daemon/src/instances/marks.rs
+++ b/crates/anvilhook-daemon/src/instances/marks.rs
@@ -35,9 +35,9 @@
 
 /// `Marks` records by source which upstreams must not get new work. Clones share it.
 ///
-/// An upstream gets work again only when no source marks it. If the sources were not kept apart, the
-/// platform's list could clear the mark of a drain, and the next request would go to an engine that
-/// is being changed.
+/// An upstream gets work again only when no source marks it. If the sources were not kept apart,
+/// the platform's list could clear the mark of a drain, and the next request would go to an engine
+/// that is being changed.
 ///
 /// ```
 /// use std::collections::BTreeSet;
@@ -79,7 +79,7 @@
     }
 
     /// Applies the marks to the upstream states that routing reads.
-    pub fn carry_over(&self, upstreams: &BTreeMap<UpstreamName, Arc<UpstreamState>>) {
+    pub fn apply_to(&self, upstreams: &BTreeMap<UpstreamName, Arc<UpstreamState>>) {
         // The lock is held, so that older marks can't be applied after newer ones.
         let by_source = self.lock();
         for (name, upstream) in upstreams {
--- a/crates/anvilhook-daemon/src/instances/peers.rs
+++ b/crates/anvilhook-daemon/src/instances/peers.rs
@@ -52,10 +52,10 @@
     /// Writes this instance's record before it routes, and again whenever its revision has changed.
     ///
     /// A drain waits for every announced instance. If an instance routed before it was announced, a
-    /// drain would not wait for it, and the engine's change would abort its requests. While the table
-    /// is unavailable, no holder can renew its authority, so after `wait_limit` all authority has
-    /// expired and routing may begin without an announcement. An instance that takes authority later
-    /// also waits for every instance in the platform's list.
+    /// drain would not wait for it, and the engine's change would abort its requests. While the
+    /// table is unavailable, no holder can renew its authority, so after `wait_limit` all authority
+    /// has expired and routing may begin without an announcement. An instance that takes authority
+    /// later also waits for every instance in the platform's list.
     pub async fn maintain_record(self, wait_limit: Millis) {
         let started_at = self.clock.now();
         let mut schedule = ReportSchedule::new(&self.name, REPORT_INTERVAL);
@@ -104,7 +104,7 @@
                 Ok(report) => {
                     if report.changed || !has_read {
                         has_read = true;
-                        self.adopt(members.members());
+                        self.apply_members(members.members());
                     }
                     if report.scanned {
                         // Only one instance scans at a time, so only one cleans up at a time.
@@ -124,7 +124,7 @@
         }
     }
 
-    fn adopt(&self, members: &[Member]) {
+    fn apply_members(&self, members: &[Member]) {
         let peers = members.iter().filter(|member| member.name != self.name);
         let names: Vec<InstanceName> = peers.clone().map(|peer| peer.name.clone()).collect();
         // This instance counts even if it is not among the members yet.
@@ -204,9 +204,9 @@
     PeerAddress { name, zone, address: peer_address }
 }
 
-/// Returns the address of an entry of the platform's list if the entry is live and its name is valid
-/// for an instance. An upstream that is mistaken for an instance can't prove that it has the key, so
-/// no link is established to it.
+/// Returns the address of an entry of the platform's list if the entry is live and its name is
+/// valid for an instance. An upstream that is mistaken for an instance can't prove that it has the
+/// key, so no link is established to it.
 fn listed_peer(line: ListedInstance) -> Option<PeerAddress> {
     let name = InstanceName::try_new(line.name.as_str()).ok()?;
     let is_live = line.state == ListedState::Live;
--- a/crates/anvilhook-daemon/src/instances/plans.rs
+++ b/crates/anvilhook-daemon/src/instances/plans.rs
@@ -17,8 +17,8 @@
         .collect()
 }
 
-/// Returns the names of all upstreams of plain services, which are in the platform's list in addition
-/// to the instances.
+/// Returns the names of all upstreams of plain services, which are in the platform's list in
+/// addition to the instances.
 pub(super) fn plain_upstreams(cfg: &Configuration) -> Vec<UpstreamName> {
     let mut names = Vec::new();
     for resource in cfg.of_kind(Kind::Service) {
--- a/crates/anvilhook-daemon/src/instances/pollers.rs
+++ b/crates/anvilhook-daemon/src/instances/pollers.rs
@@ -24,8 +24,8 @@
 /// change must be applied everywhere within 4 s, even without peers.
 const MAX_PAUSE: Millis = Millis(2_500);
 
-/// How many times per second the whole fleet reads the platform's list, and the longest pause between
-/// two reads: every instance must know within a few seconds that an upstream leaves.
+/// How many times per second the whole fleet reads the platform's list, and the longest pause
+/// between two reads: every instance must know within a few seconds that an upstream leaves.
 const FLEET_LIST_READS_PER_S: u64 = 100;
 const MAX_LIST_PAUSE: Millis = Millis(4_000);
 
@@ -94,9 +94,9 @@
                 continue;
             }
             let cfg = self.follower.current();
-            self.front.apply_with(&cfg, count, |upstreams| self.marks.carry_over(upstreams));
+            self.front.apply_with(&cfg, count, |upstreams| self.marks.apply_to(upstreams));
             // A mark that was set meanwhile has been applied to the earlier state only.
-            self.marks.carry_over(self.front.state().upstreams());
+            self.marks.apply_to(self.front.state().upstreams());
             self.readiness.set_configured();
         }
     }
@@ -109,7 +109,7 @@
                     let leaving = lines.into_iter().filter(|line| line.state != ListedState::Live);
                     let names: BTreeSet<UpstreamName> = leaving.map(|line| line.name).collect();
                     self.marks.replace(MarkSource::Listed, names);
-                    self.marks.carry_over(self.front.state().upstreams());
+                    self.marks.apply_to(self.front.state().upstreams());
                 }
                 Err(err) => log::warn!("failed to read the platform's list: {err}"),
             }
--- a/crates/anvilhook-daemon/src/instances/roles.rs
+++ b/crates/anvilhook-daemon/src/instances/roles.rs
@@ -2,8 +2,8 @@
 //!
 //! Only the holder of a pool plans its roles. It takes the engines' roles from their load reports,
 //! and estimates the work as its own callers' work times the number of instances. A plan is not an
-//! order: it becomes part of the desired state, and the controller drains an engine before it changes
-//! its role.
+//! order: it becomes part of the desired state, and the controller drains an engine before it
+//! changes its role.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -148,7 +148,7 @@
         let engines: Vec<EngineRole> =
             engines.iter().filter_map(|engine| self.engine(engine)).collect();
         for change in self.planner.plan(&engines, now) {
-            log::info!("planned role {:?} for engine {}", change.role, change.engine);
+            log::info!("planned for engine {}: role {:?}", change.engine, change.role);
             self.wanted_since.insert(change.engine.clone(), now);
             self.wanted.insert(change.engine, change.role);
         }
@@ -194,12 +194,12 @@
         let aim = if target == counts {
             "no change is worth its cost".to_owned()
         } else {
-            format!("target: {}", in_words(&target))
+            format!("target: {}", describe_counts(&target))
         };
         Some(format!(
             "{}, {changing} of them changing; {aim}; the observed {:.0} prompt and {:.0} output \
              tokens per second use {:.0}% of the engines",
-            in_words(&counts),
+            describe_counts(&counts),
             all.prompt,
             all.output,
             utilization * 100.0
@@ -207,7 +207,7 @@
     }
 }
 
-fn in_words(counts: &RoleCounts) -> String {
+fn describe_counts(counts: &RoleCounts) -> String {
     let RoleCounts { prefill, decode, mixed } = counts;
     format!("{prefill} prefill, {decode} decode and {mixed} mixed")
 }
--- a/crates/anvilhook-daemon/src/instances/starts/spawns.rs
+++ b/crates/anvilhook-daemon/src/instances/starts/spawns.rs
@@ -28,8 +28,8 @@
 type HttpLoadTask<C> = LoadTask<C, HttpUpstreams, TableClaims<HttpPlatform, C>, HttpPlatform>;
 
 impl<C: Clock> Wiring<C> {
-    /// Starts the pollers of configuration, instance list, caches and load. They run until the end of
-    /// a graceful stop, because requests in flight still need their updates.
+    /// Starts the pollers of configuration, instance list, caches and load. They run until the end
+    /// of a graceful stop, because requests in flight still need their updates.
     pub(super) fn spawn_pollers(&self, tasks: &mut Tasks, link: &PeerHandle) {
         let pollers = self.pollers();
         let PollingSettings { configuration_ms, reports_ms, instance_list_ms } =
@@ -80,8 +80,7 @@
         let leases = self.settings.leases;
         let wait_limit = leases.length_ms + leases.guard_ms;
         let until = Phase::Closed;
-        let announcing = presence.clone().maintain_record(wait_limit);
-        tasks.spawn_until("announcement", until, announcing);
+        tasks.spawn_until("announcement", until, presence.clone().maintain_record(wait_limit));
         let members = MembershipFollower::new(
             platform.clone(),
             self.clock.clone(),
@@ -107,7 +106,8 @@
         tasks.spawn_until("sweep of claims", until, sweeping);
     }
 
-    /// Starts the task that follows drains and the controller of the pools that this instance holds.
+    /// Starts the task that follows drains and the controller of the pools that this instance
+    /// holds.
     pub(super) fn spawn_authority(
         &self,
         tasks: &mut Tasks,
--- a/crates/anvilhook-daemon/src/instances/sweeps.rs
+++ b/crates/anvilhook-daemon/src/instances/sweeps.rs
@@ -7,8 +7,8 @@
 
 use super::tasks::sleep_for;
 
-/// Sweeps old claims until it is dropped. The work is shared with the other instances, and the pauses
-/// limit the rate of the whole fleet.
+/// Sweeps old claims until it is dropped. The work is shared with the other instances, and the
+/// pauses limit the rate of the whole fleet.
 pub(super) async fn sweep_claims<T: Table, C: Clock, L: InstanceList>(
     claims: Claims<T, C>,
     list: L,
--- a/crates/anvilhook-daemon/src/names.rs
+++ b/crates/anvilhook-daemon/src/names.rs
@@ -43,8 +43,8 @@
 /// name mixed in.
 ///
 /// Attempt ids are drawn from it. Without the name, two instances with the same seed would draw the
-/// same ids, and each would take the other's claim for its own, so that a request that must run once
-/// would run twice.
+/// same ids, and each would take the other's claim for its own, so that a request that must run
+/// once would run twice.
 ///
 /// ```
 /// use anvilhook_core::names::InstanceName;
--- a/crates/anvilhook-daemon/src/observability/fronts.rs
+++ b/crates/anvilhook-daemon/src/observability/fronts.rs
@@ -9,8 +9,8 @@
 use volo_http::body::Body;
 use volo_http::server::route::{Router, get};
 
-/// `Readiness` is whether the platform's balancer should send callers to this instance. Clones share
-/// it.
+/// `Readiness` is whether the platform's balancer should send callers to this instance. Clones
+/// share it.
 #[derive(Clone, Debug)]
 pub struct Readiness {
     configured: watch::Sender<bool>,
@@ -35,7 +35,7 @@
     }
 
     /// Returns the reason why no callers should be sent here, or `None` if the instance is ready.
-    pub fn objection(&self) -> Option<&'static str> {
+    pub fn not_ready_reason(&self) -> Option<&'static str> {
         if self.shutdown.phase() != Phase::Serving {
             Some("stopping")
         } else if !*self.configured.borrow() {
@@ -72,7 +72,7 @@
 }
 
 fn ready_answer(readiness: &Readiness) -> Response<Body> {
-    match readiness.objection() {
+    match readiness.not_ready_reason() {
         None => answers::text(StatusCode::OK, "ready\n"),
         Some(why) => answers::text(StatusCode::SERVICE_UNAVAILABLE, format!("not ready: {why}\n")),
     }
--- a/crates/anvilhook-daemon/src/operators/credentials.rs
+++ b/crates/anvilhook-daemon/src/operators/credentials.rs
@@ -72,8 +72,8 @@
 
     /// Finds the operator that a token belongs to.
     ///
-    /// All digests are compared, each in constant time. A comparison that stopped early would reveal,
-    /// over many tries, how much of a guess is right.
+    /// All digests are compared, each in constant time. A comparison that stopped early would
+    /// reveal, over many tries, how much of a guess is right.
     fn find(&self, token: &str) -> Option<&Operator> {
         let digest = Sha256::digest(token.as_bytes());
         let mut found = None;
--- a/crates/anvilhook-daemon/src/operators/endpoints.rs
+++ b/crates/anvilhook-daemon/src/operators/endpoints.rs
@@ -1,5 +1,5 @@
-//! The frame that all handlers of the API share: it authenticates the caller, reads the request, runs
-//! the handler, and converts a refusal into an answer.
+//! The frame that all handlers of the API share: it authenticates the caller, reads the request,
+//! runs the handler, and converts a refusal into an answer.
 
 use std::convert::Infallible;
 use std::future::Future;
--- a/crates/anvilhook-daemon/src/operators/mod.rs
+++ b/crates/anvilhook-daemon/src/operators/mod.rs
@@ -42,7 +42,7 @@
     /// The maximum number of events buffered for a watcher.
     pub watch_buffer: usize,
     /// How long a watcher's buffer may stay full before the watcher is dropped.
-    pub watch_patience: Millis,
+    pub watch_wait_limit: Millis,
     /// The interval of keep-alive comments on a watch without events.
     pub watch_keep_alive: Millis,
     /// The pause before a failed read of a watcher's changes is retried.
@@ -56,7 +56,7 @@
         Self {
             max_watchers: 64,
             watch_buffer: 64,
-            watch_patience: Millis::from_secs(10),
+            watch_wait_limit: Millis::from_secs(10),
             watch_keep_alive: Millis::from_secs(10),
             watch_retry: Millis::from_secs(1),
             max_audit_entries: 500,
--- a/crates/anvilhook-daemon/src/operators/refusals.rs
+++ b/crates/anvilhook-daemon/src/operators/refusals.rs
@@ -18,8 +18,8 @@
     })
 }
 
-/// Converts an error of a change into a refusal that states whether the change was accepted, or that
-/// this is unknown.
+/// Converts an error of a change into a refusal that states whether the change was accepted, or
+/// that this is unknown.
 pub(super) fn of_change(err: Error) -> Box<Refusal> {
     let message = err.to_string();
     Box::new(match err {
--- a/crates/anvilhook-daemon/src/operators/watches.rs
+++ b/crates/anvilhook-daemon/src/operators/watches.rs
@@ -130,7 +130,7 @@
     }
 
     async fn send(&self, event: WatchEvent) -> Result<(), Ended> {
-        let limit: Duration = self.api.options.watch_patience.as_duration();
+        let limit: Duration = self.api.options.watch_wait_limit.as_duration();
         match tokio::time::timeout(limit, self.tx.send(event)).await {
             Ok(sent) => sent.map_err(|_| Ended),
             Err(_elapsed) => {
--- a/crates/anvilhook-daemon/src/proxy/attempts.rs
+++ b/crates/anvilhook-daemon/src/proxy/attempts.rs
@@ -167,7 +167,8 @@
         if is_healthy { ejection.record_success(now) } else { ejection.record_failure(now) }
     }
 
-    /// Creates the attempt to be sent to an upstream. `number` counts the request's attempts from 1.
+    /// Creates the attempt to be sent to an upstream. `number` counts the request's attempts from
+    /// 1.
     pub(super) fn attempt(
         &self,
         req: &ProxyRequest,
--- a/crates/anvilhook-daemon/src/proxy/cancels.rs
+++ b/crates/anvilhook-daemon/src/proxy/cancels.rs
@@ -51,7 +51,8 @@
     upstream.open_requests()
 }
 
-/// `Running` is an attempt that may be running at an upstream. Dropping it cancels the attempt there.
+/// `Running` is an attempt that may be running at an upstream. Dropping it cancels the attempt
+/// there.
 ///
 /// When a caller disconnects, the task that serves it is dropped at any await. Without the cancel,
 /// the engine would go on generating an answer that no caller reads.
--- a/crates/anvilhook-daemon/src/proxy/claims.rs
+++ b/crates/anvilhook-daemon/src/proxy/claims.rs
@@ -187,8 +187,8 @@
     }
 }
 
-/// Records the outcome of a claimed request, or releases its claim if it has not run. If it may have
-/// run, the claim stays without an outcome.
+/// Records the outcome of a claimed request, or releases its claim if it has not run. If it may
+/// have run, the claim stays without an outcome.
 async fn settle<K: Claims>(claims: K, claim: K::Claim, result: Result<WholeAnswer, Failure>) {
     for tries in 1..=SETTLE_TRIES {
         let settled = match &result {
--- a/crates/anvilhook-daemon/src/proxy/streams.rs
+++ b/crates/anvilhook-daemon/src/proxy/streams.rs
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Returns the next item, and resumes the stream over a new connection if the current one fails.
+    /// Returns the next item, and resumes the stream over a new connection if the current one
+    /// fails.
     async fn next_item(&mut self) -> Result<StreamItem, Failure> {
         if let Some(first) = self.first.take() {
             return Ok(first);
--- a/crates/anvilhook-daemon/src/settings/files.rs
+++ b/crates/anvilhook-daemon/src/settings/files.rs
@@ -58,8 +58,8 @@
     parse(file, &text)
 }
 
-/// Reads a file up to the maximum size. An endless file, such as `/dev/zero`, would otherwise use up
-/// all memory.
+/// Reads a file up to the maximum size. An endless file, such as `/dev/zero`, would otherwise use
+/// up all memory.
 fn read_bounded(file: &Path) -> io::Result<String> {
     let mut text = String::new();
     File::open(file)?.take(MAX_FILE_BYTES + 1).read_to_string(&mut text)?;
@@ -118,16 +118,16 @@
     }
 }
 
-/// Returns whether a path names an unknown field in the section that contains the secret. If the colon
-/// after the key is missing, the secret becomes part of the field's name, and an error with that name
-/// would put the secret into logs.
+/// Returns whether a path names an unknown field in the section that contains the secret. If the
+/// colon after the key is missing, the secret becomes part of the field's name, and an error with
+/// that name would put the secret into logs.
 fn is_unknown_in_secret_section(path: &str) -> bool {
     let name = path.strip_prefix(SECRET_SECTION).and_then(|rest| rest.strip_prefix('.'));
     name.is_some_and(|name| name != SECRET_FIELD)
 }
 
-/// Returns the known part of a field's path, if any. In the library's paths, `?` stands for an unknown
-/// part and `.` for the whole file.
+/// Returns the known part of a field's path, if any. In the library's paths, `?` stands for an
+/// unknown part and `.` for the whole file.
 fn known_part(path: &str) -> Option<String> {
     let known = path.trim_end_matches('?').trim_end_matches('.');
     (!known.is_empty()).then(|| known.to_owned())
--- a/crates/anvilhook-daemon/src/settings/mod.rs
+++ b/crates/anvilhook-daemon/src/settings/mod.rs
@@ -1,7 +1,7 @@
 //! The settings of an instance, read from a YAML file.
 //!
-//! Every field is checked when the file is read. A file with an unknown, invalid or missing field is
-//! rejected as a whole with one error that names the file, the line and the field.
+//! Every field is checked when the file is read. A file with an unknown, invalid or missing field
+//! is rejected as a whole with one error that names the file, the line and the field.
 
 mod checks;
 mod files;
--- a/crates/anvilhook-daemon/tests/load_digests.rs
+++ b/crates/anvilhook-daemon/tests/load_digests.rs
@@ -99,7 +99,7 @@
 
     // Act, assert: cut off, an instance reads the others' engines by itself.
     let (cut, _) = others().next().expect("some engine is read by two others");
-    fleet[cut].cut_link();
+    fleet[cut].stop_peer_link();
     let is_done = |now: &Seen, before: &Seen| {
         let mut missed = others().filter(|(at, _)| *at == cut);
         missed.all(|(at, engine)| added(now, before, at, engine).read_missed >= WINDOW)
--- a/crates/anvilhook-daemon/tests/watches.rs
+++ b/crates/anvilhook-daemon/tests/watches.rs
@@ -138,7 +138,7 @@
     let options = OperatorOptions {
         max_watchers: 1,
         watch_buffer: 2,
-        watch_patience: Millis(20),
+        watch_wait_limit: Millis(20),
         ..Default::default()
     };
     let api = Api::start_with(options).await;
