--- a/crates/anvilhook-engine/src/control.rs
+++ b/crates/anvilhook-engine/src/control.rs
@@ -1,4 +1,4 @@
-//! Control of a model engine: its state, its load, its cache events, and orders to it.
+//! Control interface of a model engine: reads its state, load and cache events, and sends it orders.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -9,15 +9,15 @@
 
 use crate::errors::Result;
 
-/// `EngineControl` reads engines and gives them orders.
+/// `EngineControl` reads the state of engines and gives them orders.
 pub trait EngineControl: Clone + Send + Sync + 'static {
     /// Reads the engine's actual state, without lag.
     fn state(&self, engine: SocketAddr) -> impl Future<Output = Result<EngineState>> + Send;
 
-    /// Reads the engine's load as it was some time ago.
+    /// Reads the engine's load report, which lags behind its actual load.
     fn report(&self, engine: SocketAddr) -> impl Future<Output = Result<LoadReport>> + Send;
 
-    /// Reads the cache events after the given number.
+    /// Reads the cache events with numbers above `after`.
     fn cache_events(
         &self,
         engine: SocketAddr,
@@ -32,7 +32,7 @@
         order: &StampedOrder,
     ) -> impl Future<Output = Result<OrderReply>> + Send;
 
-    /// Cancels an attempt's work. Cancelling what has ended changes nothing.
+    /// Cancels an attempt's work. Cancelling an attempt that has ended has no effect.
     fn cancel(
         &self,
         engine: SocketAddr,
--- a/crates/anvilhook-engine/src/errors.rs
+++ b/crates/anvilhook-engine/src/errors.rs
@@ -1,40 +1,41 @@
-//! Failures of calls to upstreams.
+//! Errors of calls to upstreams.
 
 use std::fmt;
 
 use anvilhook_core::Verdict;
 use anvilhook_http::CallError;
 
-/// A result with the upstream's error.
+/// A result whose error is a failed call to an upstream.
 pub type Result<T> = std::result::Result<T, Error>;
 
 /// `Error` is a failed call to an upstream.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
-    /// Returned when the call broke or took too long.
+    /// Returned when the call failed or timed out.
     Call(CallError),
-    /// Returned when the upstream said that it refused before running.
+    /// Returned when the upstream reported that it refused the request before running it.
     Refused {
         /// The upstream's HTTP status.
         status: u16,
-        /// Its reason, for logs.
+        /// The upstream's reason, for logs.
         message: String,
     },
-    /// Returned when what came is not an answer to this attempt: no echo of its id, another's id,
-    /// shorter than announced, or a stream without its closing event.
+    /// Returned when the answer is not a valid answer to this attempt: it does not echo the
+    /// attempt's id, echoes another id, is shorter than announced, or is a stream without its
+    /// closing event.
     NotAnAnswer {
-        /// What was wrong with it.
+        /// What is wrong with the answer.
         message: String,
     },
-    /// Returned when the answer is larger than it may be.
+    /// Returned when the answer is larger than allowed.
     TooLarge {
-        /// The largest that it may be, in bytes.
+        /// The maximum size of the answer, in bytes.
         max_bytes: usize,
     },
 }
 
 impl Error {
-    /// Returns an error for what is not an answer to the attempt.
+    /// Returns the error for an answer that is not a valid answer to the attempt.
     pub fn not_an_answer(message: impl fmt::Display) -> Self {
         Error::NotAnAnswer { message: message.to_string() }
     }
@@ -56,7 +57,9 @@
             Error::Refused { status, message } => {
                 write!(f, "refused with status {status}: {message}")
             }
-            Error::NotAnAnswer { message } => write!(f, "not an answer to this attempt: {message}"),
+            Error::NotAnAnswer { message } => {
+                write!(f, "invalid answer to this attempt: {message}")
+            }
             Error::TooLarge { max_bytes } => write!(f, "answer larger than {max_bytes} bytes"),
         }
     }
--- a/crates/anvilhook-engine/src/http_control.rs
+++ b/crates/anvilhook-engine/src/http_control.rs
@@ -1,4 +1,4 @@
-//! The HTTP binding of `EngineControl`.
+//! Implements `EngineControl` over HTTP.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,10 +25,10 @@
 /// `ControlOptions` bounds control calls.
 #[derive(Clone, Copy, Debug)]
 pub struct ControlOptions {
-    /// The longest time to the head of an answer, and again to its end. Whoever gives orders takes
-    /// it from the guard interval of its lease.
+    /// The maximum time to the head of an answer, and again from there to its end. A caller that
+    /// gives orders must fit this time into the guard interval of its lease.
     pub timeout: Millis,
-    /// The largest answer, in bytes.
+    /// The maximum size of an answer, in bytes.
     pub max_answer_bytes: usize,
 }
 
@@ -38,7 +38,8 @@
     }
 }
 
-/// `CallIds` gives each call an id that no other process gives.
+/// `CallIds` generates the ids of calls. Its random base keeps them distinct from the ids of other
+/// processes.
 #[derive(Debug)]
 struct CallIds {
     base: AttemptId,
@@ -60,7 +61,7 @@
     ids: Arc<CallIds>,
 }
 
-/// `ControlCall` is one call to one engine.
+/// `ControlCall` is one control call to an engine.
 struct ControlCall {
     /// The id that the answer must echo.
     id: AttemptId,
@@ -71,23 +72,24 @@
 }
 
 impl ControlCall {
-    /// Makes a call that reads and may be repeated.
+    /// Creates a read-only call, which may be repeated.
     fn reading(id: AttemptId, path: String) -> Self {
         let connection = Connection::Pooled;
         Self { id, method: Method::GET, path, body: Bytes::new(), connection }
     }
 
-    /// Makes a call that changes something.
+    /// Creates a call that changes the engine's state.
     ///
-    /// It goes over a new connection: on one that has gone silent it would be in doubt, and the
-    /// engine could be given no further order until its state has been read.
+    /// It uses a new connection. On a pooled connection that no longer responds, the outcome of the
+    /// call would be in doubt, and no further order could be given to the engine until its state
+    /// has been read.
     fn changing(id: AttemptId, method: Method, path: String, body: Bytes) -> Self {
         Self { id, method, path, body, connection: Connection::New }
     }
 }
 
 impl HttpEngineControl {
-    /// Makes the binding over a client. The generator draws the base of the calls' ids.
+    /// Creates the binding over a client. `rng` generates the base of the calls' ids.
     pub fn new(client: HttpClient, opts: ControlOptions, rng: &mut impl Rng) -> Self {
         let base = AttemptId::random(rng);
         Self { client, opts, ids: Arc::new(CallIds { base, next: AtomicU64::new(0) }) }
@@ -98,7 +100,7 @@
         decode(&self.send(engine, call, StatusCode::OK).await?)
     }
 
-    /// Sends a call and returns the body of its answer if the answer belongs to the call.
+    /// Sends a call, checks that the answer belongs to it, and returns the answer's body.
     async fn send(
         &self,
         engine: SocketAddr,
@@ -109,8 +111,8 @@
         let req = build(call)?;
         let answer = self.client.send(engine, req, connection, self.opts.timeout).await?;
 
-        // The echo comes first: whatever else an answer to another call says, it is not about
-        // this one.
+        // The echo is checked first, because the status of an answer to another call says nothing
+        // about this call.
         check_echo(&answer, id)?;
         if is_refusal(&answer) {
             return Err(refusal(answer).await);
@@ -168,7 +170,8 @@
         .header(ATTEMPT_HEADER, call.id.to_string())
         .header(CONTENT_TYPE, "application/json");
     if call.connection == Connection::New {
-        // Without this the library hands the connection to the next call that wants a new one.
+        // Without this header the library reuses the connection for the next call that asks for a
+        // new one.
         req = req.header(CONNECTION, "close");
     }
     req.body(Body::from(call.body)).map_err(build_error)
@@ -176,5 +179,5 @@
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
-        .map_err(|err| Error::not_an_answer(format!("it cannot be read: {err}")))
+        .map_err(|err| Error::not_an_answer(format!("its body cannot be decoded: {err}")))
 }
--- a/crates/anvilhook-engine/src/lib.rs
+++ b/crates/anvilhook-engine/src/lib.rs
@@ -1,6 +1,6 @@
-//! Upstreams as the system sees them: model engines and plain services.
+//! Interfaces to upstreams (model engines and plain services) and their HTTP binding.
 //!
-//! `wire` is the form in which the one HTTP binding and the stand-ins speak.
+//! `wire` defines the HTTP protocol between this binding and the stand-ins.
 #![forbid(unsafe_code)]
 
 pub mod control;
--- a/crates/anvilhook-engine/src/prompts.rs
+++ b/crates/anvilhook-engine/src/prompts.rs
@@ -1,7 +1,7 @@
-//! What can be told of a prompt without the engine's tokenizer: its length and its prefix blocks.
+//! Estimates a prompt's length and computes its prefix blocks without the engine's tokenizer.
 //!
-//! Both sides of the binding use this module, so that a block in an engine's cache events is found
-//! again in a request.
+//! Both sides of the binding use this module, so that the block hashes in an engine's cache events
+//! match those computed from a request.
 
 use anvilhook_core::reports::{PREFIX_BLOCK_TOKENS, PrefixHash};
 use anvilhook_core::units::Tokens;
@@ -9,16 +9,16 @@
 
 use crate::wire::ChatMessage;
 
-/// How many bytes of text count as one token.
+/// The number of bytes of text that count as one token.
 pub const BYTES_PER_TOKEN: u64 = 4;
 
-/// The bytes of text in one prefix block.
+/// The number of bytes of text in one prefix block.
 const BLOCK_BYTES: usize = (PREFIX_BLOCK_TOKENS * BYTES_PER_TOKEN) as usize;
 
-/// Ends a message's role and its text, neither of which contains it in practice.
+/// Terminates a message's role and its text. In practice neither contains this byte.
 const SEPARATOR: u8 = 0;
 
-/// Estimates the length of a prompt, at least one token.
+/// Estimates the length of a prompt in tokens. The result is at least one.
 ///
 /// ```
 /// use anvilhook_core::units::Tokens;
@@ -33,8 +33,8 @@
     Tokens(bytes.div_ceil(BYTES_PER_TOKEN).max(1))
 }
 
-/// Returns the hashes of a prompt's whole blocks. Two prompts share as many leading hashes as they
-/// share whole leading blocks.
+/// Returns the hashes of a prompt's complete blocks. Two prompts with N identical leading blocks have
+/// N identical leading hashes.
 ///
 /// ```
 /// use anvilhook_engine::prompts::prefix_blocks;
@@ -59,7 +59,7 @@
     blocks
 }
 
-/// `BlockChain` hashes blocks so that each hash stands for all the text before its end.
+/// `BlockChain` computes chained block hashes: each hash covers all the text up to the block's end.
 struct BlockChain {
     hasher: Sha256,
     filled: usize,
@@ -73,7 +73,7 @@
             self.filled += piece;
             text = &text[piece..];
             if self.filled == BLOCK_BYTES {
-                // The digest of this block is the start of the next one's text.
+                // Chains the blocks: the next block's hash starts with this block's digest.
                 let digest = self.hasher.finalize_reset();
                 self.hasher.update(digest);
                 self.filled = 0;
--- a/crates/anvilhook-engine/src/requests.rs
+++ b/crates/anvilhook-engine/src/requests.rs
@@ -1,8 +1,8 @@
-//! Sending a caller's request to an upstream, as one attempt with an id of its own.
+//! Sends a caller's request to an upstream as one attempt with its own id.
 //!
-//! `Upstreams` is the role and `HttpUpstreams` its one HTTP binding. An answer is taken only if it
-//! echoes the attempt's id. Anything else may be the late answer to an earlier request on the same
-//! connection, and handing it on would give a caller what belongs to another.
+//! `Upstreams` is the interface and `HttpUpstreams` its HTTP binding. An answer is accepted only if
+//! it echoes the attempt's id. Any other answer may be the late answer to an earlier request on the
+//! same connection, and forwarding it would give a caller data that belongs to another caller.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -21,32 +21,32 @@
 use crate::streams::{EventSource, EventStream};
 use crate::wire::{ATTEMPT_HEADER, KV_PATH, REFUSED_HEADER, STREAMS_PATH};
 
-/// The most bytes of a refusal's reason that are kept for logs.
+/// The maximum size of a refusal's reason, which is used in logs only.
 const MAX_REASON_BYTES: usize = 4_096;
 
-/// How long the reason of a refusal is waited for. The refusal itself stands in the head.
+/// The maximum time to wait for the reason of a refusal. The refusal itself is known from the head.
 const REASON_TIMEOUT: Millis = Millis(100);
 
-/// How long a cancel may take. It is a courtesy to the engine and holds nothing up.
+/// The timeout of a cancel call. Cancelling only saves the engine work; nothing waits for it.
 const CANCEL_TIMEOUT: Millis = Millis::from_secs(2);
 
 /// `Bounds` limits the time and size of an attempt's answer.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Bounds {
-    /// The longest time from sending to the head of the answer.
+    /// The maximum time from sending the request to the head of the answer.
     pub first_byte: Millis,
-    /// The longest time from the head of a whole answer to its end.
+    /// The maximum time from the head of an answer that is not streamed to its end.
     pub whole: Millis,
-    /// The largest answer, whole or streamed, in bytes.
+    /// The maximum size of an answer, streamed or not, in bytes.
     pub max_answer_bytes: usize,
 }
 
-/// `Attempt` is one sending of a request to one upstream.
+/// `Attempt` is one try to run a request at one upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Its id, which the answer must echo.
+    /// The attempt's id, which the answer must echo.
     pub id: AttemptId,
-    /// Where it goes.
+    /// The upstream's address.
     pub address: SocketAddr,
     /// The request's method.
     pub method: Method,
@@ -56,13 +56,13 @@
     pub headers: HeaderMap,
     /// The request's body.
     pub body: Bytes,
-    /// Which connection may be used. A retry must use a new one.
+    /// Whether a pooled connection may be used. A retry must use a new one.
     pub connection: Connection,
-    /// Its limits.
+    /// The limits of the answer.
     pub bounds: Bounds,
 }
 
-/// `WholeAnswer` is an answer that came whole and echoed the attempt's id.
+/// `WholeAnswer` is a completely received answer that echoed the attempt's id.
 #[derive(Clone, Debug)]
 pub struct WholeAnswer {
     /// The upstream's status.
@@ -73,38 +73,39 @@
     pub body: Bytes,
 }
 
-/// `Opened` is what an upstream answers to a request for a stream.
+/// `Opened` is an upstream's answer to a request for a stream.
 #[derive(Debug)]
 pub enum Opened<S> {
-    /// Events follow.
+    /// The upstream opened the stream; its events follow.
     Stream(S),
-    /// The upstream answered whole instead, for instance that the request is malformed.
+    /// The upstream sent a non-streamed answer instead, for example because the request is
+    /// malformed.
     Whole(WholeAnswer),
 }
 
-/// `Upstreams` sends attempts. It never repeats one by itself.
+/// `Upstreams` sends attempts. It never retries by itself.
 pub trait Upstreams: Clone + Send + Sync + 'static {
-    /// The events of a streamed answer.
+    /// The type of the events of a streamed answer.
     type Events: EventSource;
 
-    /// Sends an attempt and waits for its whole answer.
+    /// Sends an attempt and waits for its complete answer.
     ///
     /// # Errors
     ///
-    /// Any error of this crate; its verdict says whether the request may have run.
+    /// Any error of this crate; its verdict indicates whether the request may have run.
     fn send_whole(&self, attempt: &Attempt) -> impl Future<Output = Result<WholeAnswer>> + Send;
 
     /// Sends an attempt and waits for the head of its streamed answer.
     ///
     /// # Errors
     ///
-    /// Any error of this crate; its verdict says whether the request may have run.
+    /// Any error of this crate; its verdict indicates whether the request may have run.
     fn open_stream(
         &self,
         attempt: &Attempt,
     ) -> impl Future<Output = Result<Opened<Self::Events>>> + Send;
 
-    /// Opens an attempt's stream again, over a new connection, after the event numbered `after`.
+    /// Reopens an attempt's stream over a new connection, after the event with number `after`.
     ///
     /// # Errors
     ///
@@ -117,18 +118,20 @@
         bounds: Bounds,
     ) -> impl Future<Output = Result<Self::Events>> + Send;
 
-    /// Has one engine fetch an attempt's KV cache from another. Nothing of the request is run by it.
+    /// Makes one engine fetch an attempt's KV cache from another. This does not run any part of the
+    /// request.
     ///
     /// # Errors
     ///
-    /// Any error of this crate. Whether the cache has come over is not known then.
+    /// Any error of this crate. It is then unknown whether the cache was transferred.
     fn pull_kv(&self, pull: &KvPull) -> impl Future<Output = Result<()>> + Send;
 
-    /// Cancels an attempt's work at an engine. Cancelling what has ended changes nothing.
+    /// Cancels an attempt's work at an engine. Cancelling an attempt that has ended has no effect.
     ///
     /// # Errors
     ///
-    /// Any error of this crate. The engine then runs on until it notices by itself.
+    /// Any error of this crate. The engine then continues until it detects by itself that the
+    /// attempt is abandoned.
     fn cancel(
         &self,
         engine: SocketAddr,
@@ -136,18 +139,18 @@
     ) -> impl Future<Output = Result<()>> + Send;
 }
 
-/// `KvPull` asks an engine to fetch the KV cache of an attempt from the engine that read its prompt.
+/// `KvPull` asks an engine to fetch an attempt's KV cache from the engine that ran its prefill.
 #[derive(Clone, Copy, Debug)]
 pub struct KvPull {
-    /// The attempt whose prompt was read.
+    /// The attempt.
     pub attempt: AttemptId,
-    /// The engine that read it.
+    /// The engine that ran the prefill.
     pub from: SocketAddr,
-    /// The engine that will generate.
+    /// The engine that will generate the output.
     pub to: SocketAddr,
-    /// Which connection may be used.
+    /// Whether a pooled connection may be used.
     pub connection: Connection,
-    /// The longest time that it may take.
+    /// The maximum time to the head of the answer.
     pub timeout: Millis,
 }
 
@@ -164,12 +167,13 @@
 }
 
 impl HttpUpstreams {
-    /// Makes the binding over a client.
+    /// Creates the binding over a client.
     pub fn new(client: HttpClient) -> Self {
         Self { client }
     }
 
-    /// Sends a call and returns the head of its answer if the answer belongs to the attempt.
+    /// Sends a call, checks that the answer belongs to the attempt, and returns it with its body
+    /// still unread.
     async fn send(
         &self,
         address: SocketAddr,
@@ -181,13 +185,14 @@
         let headers = req.headers_mut();
         headers.insert(ATTEMPT_HEADER, id_value(attempt)?);
         if connection == Connection::New {
-            // The library hands a connection that has just become free to whoever waits for a new
-            // one. One that is closed after its answer can't be handed on.
+            // The library gives a connection that has just become free to a call that waits for a
+            // new one. A connection that is closed after its answer can't be reused this way.
             headers.insert(CONNECTION, HeaderValue::from_static("close"));
         }
         let answer = self.client.send(address, req, connection, timeout).await?;
 
-        // The echo comes first: a refusal of another attempt says nothing of this one.
+        // The echo is checked first, because the refusal of another attempt says nothing about this
+        // attempt.
         check_echo(&answer, attempt)?;
         if is_refusal(&answer) {
             return Err(refusal(answer).await);
@@ -235,7 +240,7 @@
         if answer.status() == StatusCode::NOT_FOUND {
             return Err(Error::Refused {
                 status: StatusCode::NOT_FOUND.as_u16(),
-                message: "the stream is not known here".to_owned(),
+                message: "the engine does not know this stream".to_owned(),
             });
         }
         EventStream::try_new(answer, attempt, after, bounds.max_answer_bytes)
@@ -248,9 +253,11 @@
         match answer.status() {
             StatusCode::NO_CONTENT => Ok(()),
             StatusCode::NOT_FOUND => {
-                Err(Error::not_an_answer("the other engine has no KV cache of it"))
+                Err(Error::not_an_answer("the other engine has no KV cache of this attempt"))
+            }
+            status => {
+                Err(Error::not_an_answer(format!("unexpected status {status} of a KV cache pull")))
             }
-            status => Err(Error::not_an_answer(format!("status {status} to a pull"))),
         }
     }
 
@@ -278,17 +285,17 @@
 
 pub(crate) fn check_echo(answer: &Response, attempt: AttemptId) -> Result<()> {
     let Some(echo) = answer.headers().get(ATTEMPT_HEADER) else {
-        return Err(Error::not_an_answer("it echoes no attempt"));
+        return Err(Error::not_an_answer("it does not echo an attempt id"));
     };
     let echoed = echo.to_str().ok().and_then(|text| text.parse::<AttemptId>().ok());
     if echoed == Some(attempt) {
         Ok(())
     } else {
-        Err(Error::not_an_answer("it echoes another attempt"))
+        Err(Error::not_an_answer("it echoes the id of another attempt"))
     }
 }
 
-/// Returns whether the upstream says that it refused before running.
+/// Returns whether the upstream reports that it refused the request before running it.
 pub(crate) fn is_refusal(answer: &Response) -> bool {
     let refusing =
         matches!(answer.status(), StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE);
@@ -302,8 +309,9 @@
     Error::Refused { status, message }
 }
 
-/// Collects a whole answer. The library fails a body that is shorter than its announced length;
-/// without an announced length a cut could not be told from an end.
+/// Collects an answer that is not streamed. The library reports an error for a body that is shorter
+/// than its announced length; without an announced length, a truncated body could not be
+/// distinguished from a complete one.
 async fn collect_whole(answer: Response, bounds: &Bounds) -> Result<WholeAnswer> {
     let (parts, body) = answer.into_parts();
     let announced = parts.headers.get(CONTENT_LENGTH).and_then(|value| value.to_str().ok());
@@ -314,7 +322,7 @@
         }
         Some(_) => {}
         None if matches!(parts.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) => {}
-        None => return Err(Error::not_an_answer("it announces no length")),
+        None => return Err(Error::not_an_answer("it has no content-length")),
     }
     let body = collect_body(body, bounds.max_answer_bytes, bounds.whole).await?;
     Ok(WholeAnswer { status: parts.status, headers: parts.headers, body })
--- a/crates/anvilhook-engine/src/streams.rs
+++ b/crates/anvilhook-engine/src/streams.rs
@@ -1,4 +1,4 @@
-//! The events of a streamed answer: each once, in order, to the closing event.
+//! Reads the events of a streamed answer: each event once and in order, up to the closing event.
 
 use std::future::Future;
 
@@ -14,7 +14,7 @@
 use crate::errors::{Error, Result};
 use crate::wire::DONE;
 
-/// How long the end of a connection's use is waited for after the closing event.
+/// The maximum time to wait for the end of the body after the closing event.
 const FINISH_TIMEOUT: Millis = Millis(200);
 
 /// `StreamItem` is one step of a streamed answer.
@@ -27,25 +27,25 @@
         /// Its data.
         data: String,
     },
-    /// The closing event: the answer is whole.
+    /// The closing event: the answer is complete.
     Done,
 }
 
 /// `EventSource` yields the events of one attempt.
 pub trait EventSource: Send + 'static {
-    /// Waits for the next event, at most `timeout` long.
+    /// Waits at most `timeout` for the next event.
     ///
     /// # Errors
     ///
-    /// An error means that this source yields nothing more. What it yielded before is good, and the
-    /// stream may be resumed after it.
+    /// After an error this source yields no more events. The events that it yielded before are
+    /// valid, and the stream may be resumed after them.
     fn next(&mut self, timeout: Millis) -> impl Future<Output = Result<StreamItem>> + Send;
 
-    /// Reads on after the closing event, so that the connection can be used again.
+    /// Reads the rest of the body after the closing event, so that the connection can be reused.
     fn finish(self) -> impl Future<Output = ()> + Send;
 }
 
-/// `EventStream` is the HTTP binding's source of events.
+/// `EventStream` is the HTTP binding's `EventSource`.
 pub struct EventStream {
     reader: SseReader<Limited<Body>>,
     attempt: String,
@@ -54,23 +54,25 @@
 }
 
 impl EventStream {
-    /// Reads the events that come after number `after` from an answer's body.
+    /// Creates a source of the events in an answer's body. Events up to number `after` are skipped.
     ///
     /// # Errors
     ///
-    /// `Error::NotAnAnswer` if the answer is no stream of events, or one whose end can't be told
-    /// from a cut.
+    /// `Error::NotAnAnswer` if the answer is not an event stream, or is one whose regular end can't
+    /// be distinguished from truncation.
     pub fn try_new(
         answer: Response,
         attempt: AttemptId,
         after: u64,
         max_bytes: usize,
     ) -> Result<Self> {
-        // The reader takes a half event before the end of the body for a whole one. In a body that
-        // ends with its connection, a cut would then hand on half an event.
+        // At the end of the body, the reader returns a partial event as if it were complete. In a
+        // body that is ended by closing the connection, truncation would then forward half an event.
         let headers = answer.headers();
         if !headers.contains_key(TRANSFER_ENCODING) && !headers.contains_key(CONTENT_LENGTH) {
-            return Err(Error::not_an_answer("the end of its stream is not marked"));
+            return Err(Error::not_an_answer(
+                "its body has neither a transfer-encoding nor a content-length",
+            ));
         }
         let limited = answer.map(|body| Limited::new(body, max_bytes));
         let reader = SseReader::into_sse(limited).map_err(Error::not_an_answer)?;
@@ -80,7 +82,7 @@
     async fn read(&mut self, timeout: Millis) -> Result<SseEvent> {
         match tokio::time::timeout(timeout.as_duration(), self.reader.read()).await {
             Ok(Ok(Some(event))) => Ok(event),
-            Ok(Ok(None)) => Err(Error::not_an_answer("its stream ends without a closing event")),
+            Ok(Ok(None)) => Err(Error::not_an_answer("its stream ended without a closing event")),
             Ok(Err(err)) if err.is::<LengthLimitError>() => {
                 Err(Error::TooLarge { max_bytes: self.max_bytes })
             }
@@ -100,18 +102,19 @@
             }
             let number = event.id.and_then(|id| id.parse::<u64>().ok());
             let Some(number) = number else {
-                return Err(Error::not_an_answer("an event has no number"));
+                return Err(Error::not_an_answer("an event has no valid id"));
             };
 
-            // An event that was read before is a repetition and is left out.
+            // Skips an event that was already read.
             if number <= self.last {
                 continue;
             }
-            // A jump means that an event was lost; the stream must be read again from there.
+            // A gap in the numbers means that an event was lost. The caller must resume the stream
+            // after the last event that it received.
             if number != self.last + 1 {
                 return Err(Error::not_an_answer("an event is missing"));
             }
-            // Every chunk names its attempt, so that crossed streams are noticed.
+            // Every chunk contains its attempt's id, which detects a stream of another attempt.
             if !data.contains(&self.attempt) {
                 return Err(Error::not_an_answer("an event belongs to another attempt"));
             }
@@ -121,8 +124,8 @@
     }
 
     async fn finish(mut self) {
-        // Whatever comes now changes nothing: the answer is whole, and a connection whose body has
-        // not ended is closed.
+        // The outcome is ignored: the answer is complete, and a connection whose body has not ended
+        // is closed.
         let _ = self.read(FINISH_TIMEOUT).await;
     }
 }
--- a/crates/anvilhook-engine/src/wire.rs
+++ b/crates/anvilhook-engine/src/wire.rs
@@ -1,14 +1,14 @@
-//! The HTTP form of upstreams that the binding and the stand-ins speak.
+//! Defines the HTTP protocol between the binding or the stand-ins and upstreams.
 //!
-//! Requests, to model engines and plain services alike:
+//! For requests to model engines and to plain services:
 //!
-//! - carry the attempt's id in `x-anvilhook-attempt`; every answer echoes it there. An answer
-//!   without the echo is not an answer.
-//! - may be refused before running: status 429 or 503 with `x-upstream-refused: true`. No other
-//!   status means that the request did not run.
-//! - a whole answer announces its length by `content-length`.
+//! - A request carries the attempt's id in `x-anvilhook-attempt`, and every answer echoes it in the
+//!   same header. An answer without the echo is invalid.
+//! - An upstream may refuse a request before running it: status 429 or 503 with
+//!   `x-upstream-refused: true`. No other status means that the request did not run.
+//! - An answer that is not streamed announces its length in `content-length`.
 //!
-//! Model engines besides:
+//! Model engines additionally serve:
 //!
 //! | call | path | body | answer |
 //! |---|---|---|---|
@@ -24,68 +24,68 @@
 //! | pull KV cache | `POST /control/kv/{attempt}?from=ADDR` | | 204, 404 if it is not there |
 //!
 //! A stream's events carry an `id`, numbered from 1 without gaps, and a `ChatChunk` as `data`. The
-//! stream ends with an event whose data is `[DONE]`; a stream without it is cut short. A stream can
-//! be resumed at the same engine until it has been closed for `RESUME_WINDOW`. The priority and the
-//! time left go in the headers below.
+//! stream ends with an event whose data is `[DONE]`; a stream without it is truncated. A stream can
+//! be resumed at the same engine until its connection has been closed for `RESUME_WINDOW`. The
+//! priority and the remaining time are sent in the headers below.
 //!
-//! Control calls belong to no attempt; each carries an id of its own in the attempt's header, which
-//! its answer echoes. With `max_tokens` 0 an engine only reads the prompt and keeps its KV cache
-//! for export; a completion under an id whose KV cache it holds only generates. To pull, an engine
-//! asks the engine at `from` for its export: a KV cache never passes through whoever asks for the
-//! pull. An engine keeps a KV cache that nobody uses for `RESUME_WINDOW`, or until its attempt is
-//! cancelled.
+//! Control calls belong to no attempt. Each carries its own id in the attempt's header, and its
+//! answer echoes that id. With `max_tokens` 0 an engine only runs the prefill and retains the KV
+//! cache for export. For a completion whose id has a KV cache at the engine, the engine only
+//! generates. On a pull, the engine requests the export from the engine at `from`, so a KV cache
+//! never passes through the process that asks for the pull. An engine retains an unused KV cache for
+//! `RESUME_WINDOW`, or until its attempt is cancelled.
 
 use anvilhook_core::units::Millis;
 use serde::{Deserialize, Serialize};
 
 pub use anvilhook_core::attempts::ATTEMPT_HEADER;
 
-/// On status 429 or 503, says that the request was refused before running.
+/// The header that, on status 429 or 503, indicates that the request was refused before running.
 pub const REFUSED_HEADER: &str = "x-upstream-refused";
-/// The priority, smaller first.
+/// The header with the request's priority. Smaller values are served first.
 pub const PRIORITY_HEADER: &str = "x-anvilhook-priority";
-/// The time left until the deadline, in milliseconds.
+/// The header with the remaining time until the deadline, in milliseconds.
 pub const TIME_LEFT_HEADER: &str = "x-anvilhook-time-left-ms";
-/// Completions.
+/// The path of completions.
 pub const COMPLETIONS_PATH: &str = "/v1/chat/completions";
-/// Streams, by attempt.
+/// The path of streams, followed by the attempt's id.
 pub const STREAMS_PATH: &str = "/v1/streams";
-/// The engine's state.
+/// The path of the engine's state.
 pub const STATE_PATH: &str = "/control/state";
-/// The engine's load report.
+/// The path of the engine's load report.
 pub const REPORT_PATH: &str = "/control/report";
-/// Cache events.
+/// The path of the engine's cache events.
 pub const CACHE_EVENTS_PATH: &str = "/control/cache-events";
-/// Orders.
+/// The path to which orders are sent.
 pub const ORDERS_PATH: &str = "/control/orders";
-/// KV cache, by attempt.
+/// The path of KV caches, followed by the attempt's id.
 pub const KV_PATH: &str = "/control/kv";
 /// The data of a stream's closing event.
 pub const DONE: &str = "[DONE]";
-/// How long an engine keeps a stream that nobody reads.
+/// How long an engine retains a stream without a reader.
 pub const RESUME_WINDOW: Millis = Millis::from_secs(10);
 
 /// `ChatMessage` is one message of a conversation.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChatMessage {
-    /// Who speaks: `system`, `user` or `assistant`.
+    /// The author of the message: `system`, `user` or `assistant`.
     pub role: String,
-    /// What is said.
+    /// The text of the message.
     pub content: String,
 }
 
-/// `ChatRequest` is a request in the widely used chat-completions form. Fields that the system does
-/// not act on pass through to the engine.
+/// `ChatRequest` is a request in the widely used chat-completions format. Fields that the system
+/// does not use are passed through to the engine.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChatRequest {
-    /// The model asked for.
+    /// The requested model.
     pub model: String,
     /// The conversation.
     pub messages: Vec<ChatMessage>,
     /// Whether the answer is streamed.
     #[serde(default)]
     pub stream: bool,
-    /// The most tokens of output.
+    /// The maximum number of output tokens.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_tokens: Option<u64>,
     /// All other fields.
@@ -93,29 +93,29 @@
     pub rest: serde_json::Map<String, serde_json::Value>,
 }
 
-/// `ChatUsage` counts tokens.
+/// `ChatUsage` counts the tokens of a request.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChatUsage {
-    /// Tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u64,
-    /// Tokens of the output.
+    /// The number of tokens in the output.
     pub completion_tokens: u64,
 }
 
-/// `ChatAnswer` is a whole answer.
+/// `ChatAnswer` is an answer that is not streamed.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChatAnswer {
     /// The attempt's id.
     pub id: String,
     /// The model that answered.
     pub model: String,
-    /// The one choice.
+    /// A list with exactly one choice.
     pub choices: Vec<ChatChoice>,
-    /// Tokens read and generated.
+    /// The numbers of prompt and output tokens.
     pub usage: ChatUsage,
 }
 
-/// `ChatChoice` is the answer's message.
+/// `ChatChoice` holds the message of an answer.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct ChatChoice {
     /// Always 0.
@@ -133,7 +133,7 @@
     pub id: String,
     /// The model that answers.
     pub model: String,
-    /// The one choice's next piece.
+    /// A list with exactly one choice, which holds the next piece of the output.
     pub choices: Vec<ChatDelta>,
 }
 
@@ -142,13 +142,13 @@
 pub struct ChatDelta {
     /// Always 0.
     pub index: u32,
-    /// The text.
+    /// The text of the piece.
     pub delta: ChatText,
-    /// Why the output ended, in the last piece.
+    /// Why the output ended; only in the last piece.
     pub finish_reason: Option<String>,
 }
 
-/// `ChatText` is a piece of text.
+/// `ChatText` is a piece of the output's text.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ChatText {
     /// The text.
--- a/crates/anvilhook-engine/tests/http_control.rs
+++ b/crates/anvilhook-engine/tests/http_control.rs
@@ -1,4 +1,4 @@
-//! Contract of `HttpEngineControl` against the stand-in engine.
+//! Tests `HttpEngineControl` against the stand-in engine.
 
 use anvilhook_core::Verdict;
 use anvilhook_core::attempts::AttemptId;
@@ -11,14 +11,15 @@
 use rand_chacha::rand_core::SeedableRng;
 
 fn control(timeout: Millis) -> HttpEngineControl {
-    let client = HttpClient::try_new(&ClientOptions::default()).expect("the defaults are good");
+    let client =
+        HttpClient::try_new(&ClientOptions::default()).expect("the default options are valid");
     let opts = ControlOptions { timeout, ..ControlOptions::default() };
     HttpEngineControl::new(client, opts, &mut ChaCha8Rng::seed_from_u64(1))
 }
 
 async fn start(engine: EngineOptions) -> EngineServer {
     let opts = EngineServerOptions { engine, ..EngineServerOptions::default() };
-    EngineServer::start(opts).await.expect("the kernel has a free port")
+    EngineServer::start(opts).await.expect("the engine starts on a free port")
 }
 
 fn become_decode(term: u64, seq: u64) -> StampedOrder {
@@ -26,16 +27,16 @@
     StampedOrder { stamp, order: Order::SetRole { role: Role::Decode } }
 }
 
-/// Long enough for any answer that comes at all.
-const PATIENCE: Millis = Millis::from_secs(10);
+/// A timeout that no answer exceeds unless it is lost.
+const LONG_TIMEOUT: Millis = Millis::from_secs(10);
 
-/// How long an answer is waited for that does not come. The order itself must arrive meanwhile.
-const SHORT: Millis = Millis::from_secs(3);
+/// The timeout for answers that do not arrive. The order itself must arrive within it.
+const SHORT_TIMEOUT: Millis = Millis::from_secs(3);
 
 #[tokio::test]
 async fn verify_reads_and_orders_reach_the_engine() {
     let engine = start(EngineOptions { first_boot: 7, ..EngineOptions::default() }).await;
-    let (control, address) = (control(PATIENCE), engine.address());
+    let (control, address) = (control(LONG_TIMEOUT), engine.address());
 
     let report = control.report(address).await.unwrap();
     let page = control.cache_events(address, 0).await.unwrap();
@@ -54,20 +55,20 @@
 
 #[tokio::test]
 async fn verify_order_without_an_answer_is_in_doubt_and_its_effect_is_read_back() {
-    // Symptom: an order is given twice, or a different one while the first is still under way.
-    // Sequence: the engine takes the order, the answer is lost or late, the sender concludes that
-    // nothing happened. Cause: a lost answer taken for a lost order.
+    // Guards against treating a lost answer as a lost order. The engine accepts the order and its
+    // answer is lost or late. A sender that assumes that nothing happened gives the order twice, or
+    // gives a different order while the first is still in progress.
     let cases = [
-        (OrderFault::AnswerLost, PATIENCE, false),
-        (OrderFault::AnsweredLate(PATIENCE), SHORT, true),
+        (OrderFault::AnswerLost, LONG_TIMEOUT, false),
+        (OrderFault::AnsweredLate(LONG_TIMEOUT), SHORT_TIMEOUT, true),
     ];
     for (fault, timeout, timed_out) in cases {
         let engine = start(EngineOptions::default()).await;
         engine.next_order(fault);
-        let (control, patient) = (control(timeout), control(PATIENCE));
+        let (control, state_reader) = (control(timeout), control(LONG_TIMEOUT));
 
         let lost = control.order(engine.address(), &become_decode(1, 1)).await.unwrap_err();
-        let state = patient.state(engine.address()).await.unwrap();
+        let state = state_reader.state(engine.address()).await.unwrap();
 
         assert_eq!(lost.verdict(), Verdict::MayHaveRun, "{fault:?}");
         let Error::Call(call) = lost else { panic!("{fault:?}: {lost:?}") };
@@ -77,21 +78,21 @@
 }
 
 #[tokio::test]
-async fn verify_order_held_back_takes_effect_after_its_sender_gave_up() {
-    // Symptom: an engine that checks no fencing number changes its role long after the lease of
-    // the order's sender has lapsed. Sequence: the order is held back in the network, its sender
-    // gives up, a read of the state shows nothing, the order arrives. Cause: a state read after a
-    // timeout taken for proof that the order is dead.
+async fn verify_delayed_order_takes_effect_after_its_sender_timed_out() {
+    // Guards against treating a state read after a timeout as proof that the order is lost. The
+    // network delays the order, its sender times out, a state read shows no order, and then the
+    // order arrives. An engine that does not check fencing numbers then changes its role long after
+    // the sender's lease has expired.
     let engine = start(EngineOptions { checks_fencing: false, ..EngineOptions::default() }).await;
     engine.next_order(OrderFault::HeldBack);
-    let (control, patient) = (control(SHORT), control(PATIENCE));
+    let (control, state_reader) = (control(SHORT_TIMEOUT), control(LONG_TIMEOUT));
 
     let lost = control.order(engine.address(), &become_decode(1, 1)).await.unwrap_err();
-    let before = patient.state(engine.address()).await.unwrap();
+    let before = state_reader.state(engine.address()).await.unwrap();
     engine.release_orders();
     let mut after = before.clone();
     while after.running_order.is_none() {
-        after = patient.state(engine.address()).await.unwrap();
+        after = state_reader.state(engine.address()).await.unwrap();
     }
 
     assert_eq!(lost.verdict(), Verdict::MayHaveRun);
@@ -100,9 +101,9 @@
 }
 
 #[tokio::test]
-async fn verify_engine_that_is_down_has_not_taken_an_order() {
+async fn verify_engine_that_is_down_has_not_accepted_an_order() {
     let engine = start(EngineOptions::default()).await;
-    let control = control(PATIENCE);
+    let control = control(LONG_TIMEOUT);
     engine.crash().await;
 
     let refused = control.order(engine.address(), &become_decode(1, 1)).await.unwrap_err();
@@ -115,12 +116,12 @@
 }
 
 #[tokio::test]
-async fn verify_order_gets_through_while_open_connections_are_silent() {
-    // Symptom: an engine that works takes no orders. Sequence: a read leaves its connection open,
-    // something between the two ends forgets it, the order is sent on it. Cause: an order sent on a
-    // pooled connection.
+async fn verify_order_succeeds_while_pooled_connections_are_unresponsive() {
+    // Guards against sending an order on a pooled connection. A read leaves its connection open, a
+    // middlebox drops the connection's state, and an order sent on it would never arrive although
+    // the engine works.
     let engine = start(EngineOptions::default()).await;
-    let control = control(PATIENCE);
+    let control = control(LONG_TIMEOUT);
     control.state(engine.address()).await.unwrap();
     engine.front().connections().silence_all();
 
