--- a/crates/anvilhook-daemon/src/proxy/failures.rs
+++ b/crates/anvilhook-daemon/src/proxy/failures.rs
@@ -116,7 +116,7 @@
             }
             Error::Call(CallError { timed_out: true, .. }) => Code::UpstreamTimeout,
             Error::TooLarge { .. } => Code::AnswerTooLarge,
-            Error::Call(_) | Error::NotAnAnswer { .. } => Code::UpstreamFailed,
+            Error::Call(_) | Error::InvalidAnswer { .. } => Code::UpstreamFailed,
         };
         Self { code, verdict, message: err.to_string(), retry_after: None }
     }
--- a/crates/anvilhook-daemon/src/proxy/splits.rs
+++ b/crates/anvilhook-daemon/src/proxy/splits.rs
@@ -67,7 +67,7 @@
         };
         if let Err(err) = self.upstreams.pull_kv(&pull).await {
             // The engine that says why it could not fetch the cache is well itself.
-            let is_answer = matches!(err, Error::NotAnAnswer { .. });
+            let is_answer = matches!(err, Error::InvalidAnswer { .. });
             return (if is_answer { prefill } else { decode }, Err(err));
         }
         prefill.ended();
--- a/crates/anvilhook-daemon/src/proxy/whole.rs
+++ b/crates/anvilhook-daemon/src/proxy/whole.rs
@@ -61,6 +61,6 @@
     if names_attempt {
         Ok(())
     } else {
-        Err(Error::not_an_answer("its body belongs to another attempt"))
+        Err(Error::invalid_answer("its body belongs to another attempt"))
     }
 }
--- a/crates/anvilhook-engine/src/errors.rs
+++ b/crates/anvilhook-engine/src/errors.rs
@@ -23,7 +23,7 @@
     /// Returned when the answer is not a valid answer to this attempt: it does not echo the
     /// attempt's id, echoes another id, is shorter than announced, or is a stream without its
     /// closing event.
-    NotAnAnswer {
+    InvalidAnswer {
         /// What is wrong with the answer.
         message: String,
     },
@@ -36,8 +36,8 @@
 
 impl Error {
     /// Returns the error for an answer that is not a valid answer to the attempt.
-    pub fn not_an_answer(message: impl fmt::Display) -> Self {
-        Error::NotAnAnswer { message: message.to_string() }
+    pub fn invalid_answer(message: impl fmt::Display) -> Self {
+        Error::InvalidAnswer { message: message.to_string() }
     }
 
     /// Returns whether the request may have run.
@@ -45,7 +45,7 @@
         match self {
             Error::Call(err) => err.verdict(),
             Error::Refused { .. } => Verdict::NotRun,
-            Error::NotAnAnswer { .. } | Error::TooLarge { .. } => Verdict::MayHaveRun,
+            Error::InvalidAnswer { .. } | Error::TooLarge { .. } => Verdict::MayHaveRun,
         }
     }
 }
@@ -57,7 +57,7 @@
             Error::Refused { status, message } => {
                 write!(f, "refused with status {status}: {message}")
             }
-            Error::NotAnAnswer { message } => {
+            Error::InvalidAnswer { message } => {
                 write!(f, "invalid answer to this attempt: {message}")
             }
             Error::TooLarge { max_bytes } => write!(f, "answer larger than {max_bytes} bytes"),
--- a/crates/anvilhook-engine/src/http_control.rs
+++ b/crates/anvilhook-engine/src/http_control.rs
@@ -118,7 +118,7 @@
             return Err(refusal(answer).await);
         }
         if answer.status() != expected {
-            return Err(Error::not_an_answer(format!("status {}", answer.status())));
+            return Err(Error::invalid_answer(format!("status {}", answer.status())));
         }
         let body = answer.into_body();
         Ok(collect_body(body, self.opts.max_answer_bytes, self.opts.timeout).await?)
@@ -179,5 +179,5 @@
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
-        .map_err(|err| Error::not_an_answer(format!("its body cannot be decoded: {err}")))
+        .map_err(|err| Error::invalid_answer(format!("its body cannot be decoded: {err}")))
 }
--- a/crates/anvilhook-engine/src/streams.rs
+++ b/crates/anvilhook-engine/src/streams.rs
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// `Error::NotAnAnswer` if the answer is not an event stream, or is one whose regular end can't
+    /// `Error::InvalidAnswer` if the answer is not an event stream, or is one whose regular end can't
     /// be distinguished from truncation.
     pub fn try_new(
         answer: Response,
@@ -70,19 +70,19 @@
         // body that is ended by closing the connection, truncation would then forward half an event.
         let headers = answer.headers();
         if !headers.contains_key(TRANSFER_ENCODING) && !headers.contains_key(CONTENT_LENGTH) {
-            return Err(Error::not_an_answer(
+            return Err(Error::invalid_answer(
                 "its body has neither a transfer-encoding nor a content-length",
             ));
         }
         let limited = answer.map(|body| Limited::new(body, max_bytes));
-        let reader = SseReader::into_sse(limited).map_err(Error::not_an_answer)?;
+        let reader = SseReader::into_sse(limited).map_err(Error::invalid_answer)?;
         Ok(Self { reader, attempt: attempt.to_string(), last: after, max_bytes })
     }
 
     async fn read(&mut self, timeout: Millis) -> Result<SseEvent> {
         match tokio::time::timeout(timeout.as_duration(), self.reader.read()).await {
             Ok(Ok(Some(event))) => Ok(event),
-            Ok(Ok(None)) => Err(Error::not_an_answer("its stream ended without a closing event")),
+            Ok(Ok(None)) => Err(Error::invalid_answer("its stream ended without a closing event")),
             Ok(Err(err)) if err.is::<LengthLimitError>() => {
                 Err(Error::TooLarge { max_bytes: self.max_bytes })
             }
@@ -102,7 +102,7 @@
             }
             let number = event.id.and_then(|id| id.parse::<u64>().ok());
             let Some(number) = number else {
-                return Err(Error::not_an_answer("an event has no valid id"));
+                return Err(Error::invalid_answer("an event has no valid id"));
             };
 
             // Skips an event that was already read.
@@ -112,11 +112,11 @@
             // A gap in the numbers means that an event was lost. The caller must resume the stream
             // after the last event that it received.
             if number != self.last + 1 {
-                return Err(Error::not_an_answer("an event is missing"));
+                return Err(Error::invalid_answer("an event is missing"));
             }
             // Every chunk contains its attempt's id, which detects a stream of another attempt.
             if !data.contains(&self.attempt) {
-                return Err(Error::not_an_answer("an event belongs to another attempt"));
+                return Err(Error::invalid_answer("an event belongs to another attempt"));
             }
             self.last = number;
             return Ok(StreamItem::Event { number, data });
