--- a/crates/anvilhook-http/src/answers.rs
+++ b/crates/anvilhook-http/src/answers.rs
@@ -1,19 +1,21 @@
-//! Small constructors of answers, for handlers.
+//! Helpers for handlers that build answers.
 
 use http::header::{CONTENT_TYPE, HeaderValue};
 use http::{Response, StatusCode};
 use serde::Serialize;
 use volo_http::body::Body;
 
-/// Answers with a JSON document.
+/// Returns an answer with a JSON document.
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(buf) => with_type(status, "application/json", buf),
-        Err(err) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("cannot encode answer: {err}")),
+        Err(err) => {
+            text(StatusCode::INTERNAL_SERVER_ERROR, format!("cannot encode the answer: {err}"))
+        }
     }
 }
 
-/// Answers with plain text.
+/// Returns an answer with plain text.
 pub fn text(status: StatusCode, text: impl Into<String>) -> Response<Body> {
     with_type(status, "text/plain; charset=utf-8", text.into().into_bytes())
 }
--- a/crates/anvilhook-http/src/clients.rs
+++ b/crates/anvilhook-http/src/clients.rs
@@ -1,4 +1,4 @@
-//! The client that bindings send their calls by.
+//! The HTTP client through which all bindings send their calls.
 
 use anvilhook_core::units::Millis;
 use bytes::{Bytes, BytesMut};
@@ -14,12 +14,12 @@
 /// `ClientOptions` bounds the connections of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientOptions {
-    /// The longest time that making a connection may take.
+    /// The maximum time to open a connection.
     pub connect_timeout: Millis,
-    /// How long a connection may lie idle before it is closed. A connection that something between
-    /// the two ends has forgotten goes silent; the younger the idle ones are, the fewer are silent.
+    /// How long a connection may be idle before it is closed. A connection stops responding when a
+    /// middlebox drops its state, so a shorter timeout leaves fewer such connections in the pool.
     pub idle_timeout: Millis,
-    /// The most idle connections kept to one address.
+    /// The maximum number of idle connections per address.
     pub max_idle_per_address: usize,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// `Connection` says which connection a call may use.
+/// `Connection` selects which connection a call may use.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Connection {
-    /// An idle one if there is one.
+    /// An idle connection if there is one, otherwise a new one.
     Pooled,
-    /// Only a new one, because an idle one may have gone silent.
+    /// Only a new connection, because an idle one may no longer respond.
     New,
 }
 
-/// `HttpClient` sends calls and never repeats one by itself.
+/// `HttpClient` sends calls. It never retries by itself.
 #[derive(Clone)]
 pub struct HttpClient {
     pooled: Client,
@@ -50,7 +50,7 @@
 }
 
 impl HttpClient {
-    /// Makes a client.
+    /// Creates a client.
     ///
     /// # Errors
     ///
@@ -62,14 +62,14 @@
         })
     }
 
-    /// Sends a call and waits for the head of its answer, at most `timeout` long.
+    /// Sends a call and waits at most `timeout` for the head of its answer.
     ///
-    /// The request's URI is the path and query only. Dropping the answer's body before its end
-    /// closes the connection.
+    /// The request's URI must contain only the path and query. Dropping the answer's body before its
+    /// end closes the connection.
     ///
     /// # Errors
     ///
-    /// A `CallError` of any stage but `Body`.
+    /// A `CallError` of any stage except `Body`.
     pub async fn send(
         &self,
         address: std::net::SocketAddr,
@@ -96,11 +96,12 @@
     }
 }
 
-/// Collects an answer's body, at most `timeout` long and `max_bytes` large.
+/// Collects an answer's body of at most `max_bytes`, waiting at most `timeout`.
 ///
 /// # Errors
 ///
-/// A `CallError` of stage `Body` if the body is cut short, too large or late.
+/// A `CallError` of stage `Body` if the body is truncated, larger than `max_bytes`, or not complete
+/// within `timeout`.
 pub async fn collect_body(
     body: Body,
     max_bytes: usize,
@@ -114,23 +115,24 @@
     }
 }
 
-/// Collects an answer's body as long as it goes on coming.
+/// Collects an answer's body of at most `max_bytes`, without a limit on the total time.
 ///
-/// Over a slow link a large answer takes its time; only a pause tells that it is not coming.
+/// A large answer may take long over a slow link, so only a pause between its parts counts as a
+/// failure.
 ///
 /// # Errors
 ///
-/// A `CallError` of stage `Body` if the body is cut short, too large, or pauses for longer than
-/// `pause`.
+/// A `CallError` of stage `Body` if the body is truncated, larger than `max_bytes`, or pauses for
+/// longer than `idle_timeout`.
 pub async fn collect_moving_body(
     body: Body,
     max_bytes: usize,
-    pause: Millis,
+    idle_timeout: Millis,
 ) -> Result<Bytes, CallError> {
     let mut body = std::pin::pin!(Limited::new(body, max_bytes));
     let mut whole = BytesMut::new();
     loop {
-        let frame = match tokio::time::timeout(pause.as_duration(), body.frame()).await {
+        let frame = match tokio::time::timeout(idle_timeout.as_duration(), body.frame()).await {
             Ok(None) => return Ok(whole.freeze()),
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(err))) => return Err(broken_body(err, max_bytes)),
--- a/crates/anvilhook-http/src/errors.rs
+++ b/crates/anvilhook-http/src/errors.rs
@@ -1,4 +1,4 @@
-//! Failures of a call over HTTP, each with the stage it failed at and the verdict on it.
+//! Errors of HTTP calls, with the stage at which the call failed and the resulting verdict.
 
 use std::error::Error as StdError;
 use std::fmt;
@@ -7,16 +7,16 @@
 use volo_http::error::ClientError;
 use volo_http::error::client::ErrorKind;
 
-/// `Stage` is how far a call had come when it failed.
+/// `Stage` is the step of a call at which it failed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum Stage {
     /// The request could not be built from its parts.
     Build,
-    /// No connection could be made, so no byte was sent.
+    /// No connection could be opened, so no byte was sent.
     Connect,
-    /// The request had been handed to a connection, and no head of an answer came.
+    /// The request was passed to a connection, but the head of the answer was not received.
     FirstByte,
-    /// The head of the answer had come, and its body did not come whole.
+    /// The head of the answer was received, but not its complete body.
     Body,
 }
 
@@ -35,29 +35,29 @@
 /// `CallError` is a failed call.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct CallError {
-    /// How far the call had come.
+    /// The step at which the call failed.
     pub stage: Stage,
-    /// Whether the call took longer than it was given.
+    /// Whether the call timed out.
     pub timed_out: bool,
     /// What went wrong, for logs.
     pub message: String,
 }
 
 impl CallError {
-    /// Returns an error for a call that broke.
+    /// Returns an error for a call that failed for a reason other than a timeout.
     pub fn broken(stage: Stage, message: impl fmt::Display) -> Self {
         Self { stage, timed_out: false, message: message.to_string() }
     }
 
-    /// Returns an error for a call that took too long.
+    /// Returns an error for a call that timed out.
     pub fn timed_out(stage: Stage) -> Self {
         Self { stage, timed_out: true, message: format!("timeout at {}", stage.as_str()) }
     }
 
-    /// Returns whether the request may have run at the other side.
+    /// Returns whether the server may have run the request.
     ///
-    /// Only a call that handed no byte to a connection is known not to have run. A pooled
-    /// connection that turns out to be closed after the hand-over may have carried the request.
+    /// A call is known not to have run only if no byte of it was passed to a connection. A pooled
+    /// connection that turns out to be closed afterwards may already have carried the request.
     pub fn verdict(&self) -> Verdict {
         match self.stage {
             Stage::Build | Stage::Connect => Verdict::NotRun,
@@ -75,11 +75,11 @@
 impl StdError for CallError {}
 
 impl From<ClientError> for CallError {
-    /// Maps the library's error to the stage.
+    /// Determines the stage of the library's error.
     ///
-    /// The library reports a refused connection as a failed request whose source is the socket's
-    /// own error, and a failure after the hand-over as one whose source is the protocol's error.
-    /// Everything that is not clearly before the hand-over counts as after it.
+    /// The library reports a refused connection as a failed request whose source is an I/O error,
+    /// and a failure after the request was passed to a connection as a failed request whose source
+    /// is a protocol error. An error that is not clearly from before that point counts as after it.
     fn from(err: ClientError) -> Self {
         let from_socket = err.source().is_some_and(|source| source.is::<std::io::Error>());
         let stage = match err.kind() {
--- a/crates/anvilhook-http/src/heads.rs
+++ b/crates/anvilhook-http/src/heads.rs
@@ -1,4 +1,4 @@
-//! Checks of a request's head that hold for all servers, whatever they serve.
+//! Checks the heads of requests, the same way for every server.
 
 use std::convert::Infallible;
 
@@ -11,11 +11,12 @@
 
 use crate::answers;
 
-/// `HeadChecks` has handlers see one form of head, and refuses what different readers read differently.
+/// `HeadChecks` normalizes request heads for the handlers and refuses ambiguous ones.
 ///
-/// A request that names two hosts would be routed by the one and served upstream for the other. The
-/// library passes such heads on, and HTTP has a server refuse them. A target that is a whole URI, as
-/// callers of a proxy send it, names the host by itself, which goes before the header.
+/// A request with two `Host` headers could be routed by one of them and served by the upstream for
+/// the other. The library passes such heads on, although HTTP requires a server to refuse them. A
+/// target that is an absolute URI, as callers of a proxy send it, contains the host itself, and that
+/// host takes precedence over the header.
 pub(crate) struct HeadChecks<S> {
     inner: S,
 }
@@ -34,25 +35,26 @@
     type Error = Infallible;
 
     async fn call(&self, cx: &mut ServerContext, mut req: Request) -> Result<Response, Infallible> {
-        // A server that passed this on would have a tunnel where it expects answers.
+        // If this were forwarded, the connection could become a tunnel while the server expects an
+        // answer on it.
         if req.method() == Method::CONNECT {
-            return Ok(refusal(StatusCode::METHOD_NOT_ALLOWED, "no tunnels"));
+            return Ok(refusal(StatusCode::METHOD_NOT_ALLOWED, "CONNECT is not supported"));
         }
         if req.headers().get_all(HOST).iter().nth(1).is_some() {
-            return Ok(refusal(StatusCode::BAD_REQUEST, "more than one host"));
+            return Ok(refusal(StatusCode::BAD_REQUEST, "more than one host header"));
         }
         if req.uri().scheme().is_some() && !take_host_from_target(&mut req) {
-            return Ok(refusal(StatusCode::BAD_REQUEST, "bad target"));
+            return Ok(refusal(StatusCode::BAD_REQUEST, "invalid request target"));
         }
         self.inner.call(cx, req).await
     }
 }
 
-/// Puts the host of a target that is a whole URI into the header, and leaves the path and query as the
-/// target. Returns false if there is no such host.
+/// Moves the host of an absolute URI to the `Host` header and retains only the path and query as the
+/// target. Returns false if the URI has no valid host.
 ///
-/// The query of a URI without a path is by itself no target, and a handler that sends it on would end
-/// with a panic.
+/// The query of a URI without a path is not a valid target on its own, and a handler that forwarded it
+/// would panic.
 fn take_host_from_target(req: &mut Request) -> bool {
     let uri = req.uri();
     let Some(authority) = uri.authority() else { return false };
@@ -70,8 +72,8 @@
     true
 }
 
-/// Returns the answer to a request that can't be read for certain. Where the next one begins on its
-/// connection is as doubtful.
+/// Returns the answer to an ambiguous request. It closes the connection, because it is uncertain where
+/// the next request on it begins.
 fn refusal(status: StatusCode, reason: &str) -> Response {
     let mut answer = answers::text(status, reason);
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/anvilhook-http/src/lib.rs
+++ b/crates/anvilhook-http/src/lib.rs
@@ -1,7 +1,7 @@
-//! The server and client shells that every HTTP binding of anvilhook shares.
+//! The HTTP server and client that all of anvilhook's HTTP bindings share.
 //!
-//! Both are thin covers of `volo-http`. The server's cover adds a graceful shutdown that waits as
-//! long as requests need; the client's adds the verdict on each failure, in this one place.
+//! Both are thin wrappers around `volo-http`. The server adds a graceful shutdown that waits as long
+//! as requests need, and the client adds a verdict to each failure.
 #![forbid(unsafe_code)]
 
 pub mod answers;
--- a/crates/anvilhook-http/src/pauses.rs
+++ b/crates/anvilhook-http/src/pauses.rs
@@ -1,4 +1,4 @@
-//! How long an answer asks its reader to wait before the next request.
+//! Parses `Retry-After`: how long an answer asks the client to wait before the next request.
 
 use std::fmt;
 use std::time::{Duration, SystemTime};
@@ -6,24 +6,32 @@
 use anvilhook_core::units::Millis;
 use http::header::{DATE, HeaderMap, HeaderValue, RETRY_AFTER};
 
-/// The longest pause that is believed. A longer one is more likely a fault than a wish.
-pub const LONGEST_PAUSE: Millis = Millis::from_secs(600);
+/// The maximum pause. A longer one is more likely a fault than intended.
+pub const MAX_PAUSE: Millis = Millis::from_secs(600);
 
-/// `BadPause` is a `Retry-After` that is neither a number of seconds nor a date beside the answer's own.
+/// `InvalidRetryAfter` is the error for a `Retry-After` that is neither a number of seconds nor an HTTP date in
+/// an answer that has a `Date`.
 #[derive(Clone, Debug, Eq, PartialEq)]
-pub struct BadPause(String);
+pub struct InvalidRetryAfter(String);
 
-impl fmt::Display for BadPause {
+impl fmt::Display for InvalidRetryAfter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "retry-after: neither seconds nor an HTTP date beside a date: {:?}", self.0)
+        write!(
+            f,
+            "retry-after: expected seconds, or an HTTP date together with a date header: {:?}",
+            self.0
+        )
     }
 }
 
-impl std::error::Error for BadPause {}
+impl std::error::Error for InvalidRetryAfter {}
 
-/// Reads the pause that the head of an answer asks for by `Retry-After`, [`LONGEST_PAUSE`] at the most;
-/// `None` if it asks for none. It is a number of seconds, also with fractions, or an HTTP date (RFC 9110,
-/// section 10.2.3), which is taken against the answer's own `Date`: the two clocks may differ.
+/// Returns the pause that an answer requests by `Retry-After`, at most [`MAX_PAUSE`], or `None` if
+/// it requests none.
+///
+/// The value is a number of seconds, possibly with a fraction, or an HTTP date (RFC 9110, section
+/// 10.2.3). A date is compared with the answer's own `Date`, because the clocks of server and client
+/// may differ.
 ///
 /// ```
 /// use anvilhook_core::units::Millis;
@@ -38,10 +46,10 @@
 ///
 /// # Errors
 ///
-/// A `BadPause` if the value can't be read.
-pub fn retry_after(headers: &HeaderMap) -> Result<Option<Millis>, BadPause> {
+/// A `InvalidRetryAfter` if the value is invalid.
+pub fn retry_after(headers: &HeaderMap) -> Result<Option<Millis>, InvalidRetryAfter> {
     let Some(value) = headers.get(RETRY_AFTER) else { return Ok(None) };
-    let bad = || BadPause(String::from_utf8_lossy(value.as_bytes()).into_owned());
+    let bad = || InvalidRetryAfter(String::from_utf8_lossy(value.as_bytes()).into_owned());
     let text = value.to_str().map_err(|_| bad())?.trim();
     let pause = match text.parse::<f64>() {
         Ok(seconds) if seconds.is_finite() && seconds >= 0.0 => {
@@ -55,7 +63,7 @@
             Millis(u64::try_from(pause.as_millis()).unwrap_or(u64::MAX))
         }
     };
-    Ok(Some(pause.min(LONGEST_PAUSE)))
+    Ok(Some(pause.min(MAX_PAUSE)))
 }
 
 fn date(value: &HeaderValue) -> Option<SystemTime> {
--- a/crates/anvilhook-http/src/servers.rs
+++ b/crates/anvilhook-http/src/servers.rs
@@ -1,4 +1,4 @@
-//! The server shell: a listener given by its owner, and a shutdown that cuts no request.
+//! The HTTP server: serves on a given listener and shuts down without aborting requests.
 
 use std::convert::Infallible;
 use std::io;
@@ -17,27 +17,27 @@
 
 use crate::heads::HeadChecks;
 
-/// How long the kernel keeps a connection whose peer acknowledges nothing.
+/// How long the kernel retains a connection whose peer does not acknowledge sent data.
 const TCP_USER_TIMEOUT: Millis = Millis::from_secs(20);
 
-/// How long a connection lies idle before the kernel probes it.
+/// How long a connection is idle before the kernel sends keepalive probes.
 const KEEPALIVE_AFTER: Millis = Millis::from_secs(15);
 
-/// How long the end is put off when nothing is in flight, for what still has to be written.
+/// How long the server's end is delayed after the last request, so that pending data is written.
 const FLUSH_TIME: Millis = Millis(200);
 
-/// `Phase` is where a server is between its start and its end.
+/// `Phase` is a step of a server's life cycle.
 #[derive(Clone, Copy, Debug, Eq, Ord, PartialEq, PartialOrd)]
 pub enum Phase {
-    /// New requests are taken.
+    /// New requests are accepted.
     Serving,
-    /// New requests are refused as not run; those in flight go on.
+    /// New requests are refused as not run; requests in flight continue.
     Draining,
-    /// Nothing is in flight; connections may be closed.
+    /// No request is in flight; connections may be closed.
     Closed,
 }
 
-/// `Shutdown` carries a server's phase from its owner to all its parts. Clones share the phase.
+/// `Shutdown` publishes a server's phase from its owner to all its parts. Clones share the phase.
 ///
 /// ```
 /// use anvilhook_http::{Phase, Shutdown};
@@ -49,7 +49,7 @@
 /// ```
 #[derive(Clone, Debug)]
 pub struct Shutdown {
-    /// The phase for requests, which read it without the channel's lock.
+    /// The same phase as in the channel; requests read it here without taking the channel's lock.
     now: Arc<AtomicU8>,
     phase: watch::Sender<Phase>,
 }
@@ -61,7 +61,7 @@
         Self { now, phase: watch::Sender::new(Phase::Serving) }
     }
 
-    /// Returns the present phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         match self.now.load(Ordering::SeqCst) {
             now if now == Phase::Serving as u8 => Phase::Serving,
@@ -70,9 +70,10 @@
         }
     }
 
-    /// Goes on to a later phase; an earlier one changes nothing.
+    /// Advances to a later phase. An earlier phase has no effect.
     pub fn advance(&self, to: Phase) {
-        // Whoever is woken by the channel must already read the new phase.
+        // Stored before the channel is updated, so that a task woken by the channel reads the new
+        // phase.
         self.now.fetch_max(to as u8, Ordering::SeqCst);
         self.phase.send_if_modified(|phase| {
             let later = to > *phase;
@@ -86,7 +87,7 @@
     /// Waits until the phase is `at_least` or later.
     pub async fn reached(&self, at_least: Phase) {
         let mut rx = self.phase.subscribe();
-        // The sender lives in `self`, so the channel cannot close during the wait.
+        // `self` owns the sender, so the channel cannot close during the wait.
         let _ = rx.wait_for(|phase| *phase >= at_least).await;
     }
 }
@@ -99,14 +100,14 @@
 
 /// Serves `router` on `listener` until the phase is `Closed`.
 ///
-/// The library stops by itself on a signal, and then gives open connections some 30 s before it
-/// cuts them. A long answer would be cut. It awaits its hooks before it counts, so a hook holds it
-/// back until the owner says that nothing is in flight. New connections are accepted meanwhile, so
-/// that a late caller hears that its request was not run.
+/// On a signal, the library shuts down by itself and closes open connections after about 30 s, which
+/// would truncate a long answer. It waits for its shutdown hooks before it starts this timeout, so a
+/// hook delays it until the owner reports that no request is in flight. Until then new connections
+/// are accepted, so that a late caller is informed that its request was not run.
 ///
 /// # Errors
 ///
-/// The library's error if the server cannot run.
+/// The library's error if the server fails.
 pub async fn serve<E>(
     listener: TcpListener,
     router: Router<volo_http::body::Body, E>,
@@ -127,7 +128,7 @@
     let hook_shutdown = shutdown.clone();
     let signalled = Arc::new(AtomicBool::new(false));
     let hook_signalled = Arc::clone(&signalled);
-    // All clients speak HTTP/1; looking for another version would cost every connection a buffer.
+    // All clients use HTTP/1; detecting other versions would cost a buffer for each connection.
     let server =
         Server::new(HeadChecks::new(router)).http1_only().register_shutdown_hook(move || {
             hook_signalled.store(true, Ordering::Release);
@@ -137,12 +138,12 @@
     run_until_closed(running, &shutdown, &signalled).await
 }
 
-/// Drives the library's server until the phase is `Closed`, and on to its own end after a signal.
+/// Runs the library's server until the phase is `Closed` and, after a signal, until it ends by itself.
 ///
-/// The last bytes of an answer may still lie in the process when nothing is in flight any more. The
-/// process ends after a signal, and a slow caller's answer would be cut. The library then waits
-/// until its connections have been flushed, at most some 30 s. Without a signal it would wait for
-/// ever, and the connections' own tasks flush them.
+/// When no request is in flight any more, the last bytes of an answer may still be buffered in the
+/// process. After a signal the process ends, which would truncate the answer to a slow caller, so
+/// this waits for the library, which flushes its connections for at most about 30 s. Without a signal
+/// the library would never end, and the connections' own tasks flush them.
 async fn run_until_closed<R, E>(
     mut running: Pin<&mut R>,
     shutdown: &Shutdown,
@@ -166,7 +167,8 @@
     }
 }
 
-/// `StoppableIncoming` accepts connections until the phase is `Closed`, then frees the address.
+/// `StoppableIncoming` accepts connections until the phase is `Closed` and then closes the listener,
+/// which frees its address.
 #[derive(Debug)]
 struct StoppableIncoming {
     listener: Option<TcpListener>,
@@ -184,13 +186,14 @@
 impl Incoming for StoppableIncoming {
     async fn accept(&mut self) -> io::Result<Option<Conn>> {
         let Some(listener) = &self.listener else {
-            // The library's loop asks again at once after the end; waiting keeps it from spinning.
+            // The library's loop calls `accept` again immediately; never returning keeps it from
+            // spinning.
             return std::future::pending().await;
         };
         tokio::select! {
             accepted = listener.accept() => {
                 let (stream, _peer) = accepted?;
-                bound_silence(&stream);
+                set_peer_timeouts(&stream);
                 Ok(Some(Conn::from(stream)))
             }
             () = self.shutdown.reached(Phase::Closed) => {
@@ -201,11 +204,11 @@
     }
 }
 
-/// Has the kernel close a connection whose other end has silently gone.
-fn bound_silence(stream: &tokio::net::TcpStream) {
+/// Makes the kernel close a connection whose peer has disappeared without closing it.
+fn set_peer_timeouts(stream: &tokio::net::TcpStream) {
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new().with_time(KEEPALIVE_AFTER.as_duration());
-    // A connection without these options still works; only its end is noticed later.
+    // A connection without these options still works, but the loss of its peer is detected later.
     let _ = socket.set_tcp_keepalive(&keepalive);
     let _ = socket.set_tcp_user_timeout(Some(TCP_USER_TIMEOUT.as_duration()));
 }
--- a/crates/anvilhook-http/tests/clients.rs
+++ b/crates/anvilhook-http/tests/clients.rs
@@ -1,4 +1,4 @@
-//! The verdict on a failed call is true at every stage that a call can fail at.
+//! Tests that the verdict on a failed call is correct for every stage at which a call can fail.
 
 use std::net::SocketAddr;
 
@@ -11,16 +11,16 @@
 use tokio::net::{TcpListener, TcpStream};
 use volo_http::body::Body;
 
-/// `Fault` is what the other side does to a call.
+/// `Fault` is the server's misbehavior on a call.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
-    /// Nobody listens.
+    /// No process listens on the address.
     Refuse,
     /// The connection is closed once the request has been read.
     CloseAfterRead,
     /// The connection is reset with most of the request unread.
     ResetHalfRead,
-    /// Nothing ever comes.
+    /// The server never answers.
     Hang,
     /// The body ends before its announced length.
     CutBody,
@@ -44,7 +44,8 @@
 
 async fn misbehave(mut stream: TcpStream, fault: Fault) {
     if matches!(fault, Fault::ResetHalfRead) {
-        // One byte must have come, or the reset may overtake the request and rightly be "not run".
+        // Waits for the first byte. Otherwise the reset may arrive before the request is sent, and
+        // then the verdict is correctly "not run".
         let _ = stream.read(&mut [0_u8; 1]).await;
         let _ = socket2::SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
         return;
@@ -65,9 +66,9 @@
     builder.body(Body::from("request")).expect("a request")
 }
 
-/// Symptom: a caller hears "not run" of a request that ran, and sends it again.
-/// Sequence: the connection breaks after the request was handed to it.
-/// Cause: a failure after the first byte taken for a failed connect.
+/// Guards against reporting "not run" for a request that ran, which a caller would then send again.
+/// This happens if a connection that breaks after the request was passed to it counts as a failed
+/// connect.
 #[tokio::test]
 async fn verify_verdicts_of_failed_calls() {
     let cases = [
@@ -96,7 +97,7 @@
 }
 
 #[tokio::test]
-async fn verify_an_answer_larger_than_allowed_is_no_answer() {
+async fn verify_an_answer_larger_than_allowed_is_an_error() {
     let body = Body::from("0123456789");
 
     let err = collect_body(body, 4, TIMEOUT).await.expect_err("a body too large");
--- a/crates/anvilhook-http/tests/pauses.rs
+++ b/crates/anvilhook-http/tests/pauses.rs
@@ -1,7 +1,7 @@
-//! What is read of `Retry-After`.
+//! Tests the parsing of `Retry-After`.
 
 use anvilhook_core::units::Millis;
-use anvilhook_http::pauses::{LONGEST_PAUSE, retry_after};
+use anvilhook_http::pauses::{MAX_PAUSE, retry_after};
 use http::HeaderMap;
 use http::header::{DATE, HeaderValue, RETRY_AFTER};
 
@@ -13,7 +13,7 @@
     fields.iter().map(|(name, text)| (name.clone(), value(text))).collect()
 }
 
-/// A pause that is spelled otherwise is overheard, or one without sense lasts for ever.
+/// Guards against ignoring a valid spelling of a pause, and against an absurd pause that lasts forever.
 #[test]
 fn verify_each_spelling_of_a_pause_is_read_and_bounded() {
     let cases = [
@@ -21,11 +21,11 @@
         (" 3 ", Some(Millis(3_000))),
         ("0", Some(Millis::ZERO)),
         ("0.25", Some(Millis(250))),
-        ("999999999", Some(LONGEST_PAUSE)),
-        ("1e300", Some(LONGEST_PAUSE)),
+        ("999999999", Some(MAX_PAUSE)),
+        ("1e300", Some(MAX_PAUSE)),
         (LATER, Some(Millis(7_000))),
         ("Thu, 03 Dec 2026 11:00:00 GMT", Some(Millis::ZERO)),
-        ("Thu, 03 Dec 2099 12:00:00 GMT", Some(LONGEST_PAUSE)),
+        ("Thu, 03 Dec 2099 12:00:00 GMT", Some(MAX_PAUSE)),
         ("-1", None),
         ("NaN", None),
         ("inf", None),
@@ -43,9 +43,10 @@
     assert_eq!(retry_after(&HeaderMap::new()), Ok(None));
 }
 
-/// A date is read by a clock that differs from its writer's, and its pause lasts for as much more.
+/// Guards against comparing a date with the local clock: the pause would be wrong by the difference
+/// between the clocks.
 #[test]
-fn verify_a_date_without_the_answers_own_is_not_read() {
+fn verify_a_date_without_a_date_header_is_rejected() {
     let read = retry_after(&headers(&[(RETRY_AFTER, LATER)]));
 
     assert!(read.is_err(), "{read:?}");
