--- a/crates/anvilhook-platform/src/errors.rs
+++ b/crates/anvilhook-platform/src/errors.rs
@@ -1,28 +1,28 @@
-//! Failures of the platform's services.
+//! Errors of calls to the platform's services.
 
 use std::fmt;
 
 use anvilhook_core::Verdict;
 
-/// A result with the platform's error.
+/// A result whose error is a failed call to the platform.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is a failed call of the platform.
+/// `Error` is a failed call to the platform.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Error {
     /// Returned when the call had no effect: the service could not be reached or refused it.
     Unavailable {
-        /// Why, for logs.
+        /// The cause, for logs.
         message: String,
     },
     /// Returned when the answer was lost: a write may have taken effect and must be read back.
     AnswerLost {
-        /// Why, for logs.
+        /// The cause, for logs.
         message: String,
     },
-    /// Returned when the answer cannot be understood.
+    /// Returned when the answer cannot be decoded.
     BadAnswer {
-        /// What was wrong with it.
+        /// What is wrong with the answer.
         message: String,
     },
 }
--- a/crates/anvilhook-platform/src/http_platform.rs
+++ b/crates/anvilhook-platform/src/http_platform.rs
@@ -1,4 +1,4 @@
-//! The platform's services over HTTP, in the form that `wire` sets out.
+//! Implements the platform's services over HTTP, with the protocol that `wire` defines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,14 +20,14 @@
 use crate::tables::{Commit, Row, RowKey, Table, Transaction};
 use crate::wire;
 
-/// `HttpPlatformOptions` bounds the calls of the platform.
+/// `HttpPlatformOptions` bounds the calls to the platform.
 #[derive(Clone, Copy, Debug)]
 pub struct HttpPlatformOptions {
-    /// How long the head of an answer may take, and then again its body.
+    /// The maximum time to the head of an answer, and again from there to the end of its body.
     pub timeout: Millis,
-    /// The largest answer, in bytes.
+    /// The maximum size of an answer, in bytes.
     pub max_answer_bytes: usize,
-    /// The connections' bounds.
+    /// The bounds of the connections.
     pub client: ClientOptions,
 }
 
@@ -41,10 +41,10 @@
     }
 }
 
-/// `HttpPlatform` speaks with the platform's services over HTTP. Clones share their connections.
+/// `HttpPlatform` calls the platform's services over HTTP. Clones share their connections.
 ///
-/// A read whose answer is lost is sent once more, over a new connection. A write never is: its
-/// caller hears `Error::AnswerLost` and reads back.
+/// A read whose answer is lost is retried once, over a new connection. A write is never retried: its
+/// caller receives `Error::AnswerLost` and must read back.
 ///
 /// ```
 /// use anvilhook_platform::{HttpPlatform, HttpPlatformOptions};
@@ -58,19 +58,20 @@
     address: SocketAddr,
     client: HttpClient,
     options: HttpPlatformOptions,
-    silence: Arc<Silence>,
+    pool_backoff: Arc<PoolBackoff>,
 }
 
-/// `Silence` remembers that a connection has gone silent.
+/// `PoolBackoff` avoids pooled connections for some time after a call has timed out.
 ///
-/// What loses track of one idle connection has commonly lost the others of its age too. Without
-/// this memory each call would pick the next silent one and wait for its timeout; a lease's
-/// renewals would fail one after the other while the platform is well. New connections are used
-/// until every connection that was idle at the time has been aged out.
+/// A middlebox that drops the state of one idle connection has usually dropped other idle
+/// connections of the same age too. Without the backoff, each call would pick the next unresponsive
+/// connection and wait for its timeout, and a lease's renewals would fail one after the other while
+/// the platform is healthy. New connections are used until every connection that was idle at the
+/// time of the timeout has exceeded the pool's idle timeout.
 #[derive(Debug)]
-struct Silence {
+struct PoolBackoff {
     clock: SystemClock,
-    /// Until when connections from the pool are avoided, in milliseconds of `clock`.
+    /// The time until which pooled connections are avoided, in milliseconds of `clock`.
     until: AtomicU64,
 }
 
@@ -81,7 +82,7 @@
 }
 
 impl HttpPlatform {
-    /// Makes a binding to the platform at `address`. No connection is made yet.
+    /// Creates a binding to the platform at `address`. It does not open a connection yet.
     ///
     /// # Errors
     ///
@@ -94,22 +95,25 @@
             address,
             client: HttpClient::try_new(&options.client)?,
             options: *options,
-            silence: Arc::new(Silence { clock: SystemClock::new(), until: AtomicU64::new(0) }),
+            pool_backoff: Arc::new(PoolBackoff {
+                clock: SystemClock::new(),
+                until: AtomicU64::new(0),
+            }),
         })
     }
 
-    /// Enters an instance into the list, or changes its line. Only the platform itself and its
-    /// stand-in's users do so.
+    /// Adds an instance to the instance list, or replaces its entry. Only the platform itself and
+    /// users of its stand-in call this.
     ///
     /// # Errors
     ///
-    /// Those of any write.
+    /// The errors of any write.
     pub async fn enter_instance(&self, line: &ListedInstance) -> Result<()> {
         let call = Call::write(Method::PUT, wire::INSTANCES_PATH.to_owned(), encode(line)?);
         self.exchange(&call).await?.expect_stored()
     }
 
-    /// Sends a read, once more over a new connection if the answer is lost.
+    /// Sends a read, and retries it once over a new connection if the answer is lost.
     async fn read_call(&self, path: String) -> Result<Answer> {
         let call = Call { method: Method::GET, path, body: Bytes::new() };
         match self.exchange(&call).await {
@@ -119,14 +123,14 @@
     }
 
     async fn exchange(&self, call: &Call) -> Result<Answer> {
-        self.exchange_over(call, self.silence.connection()).await
+        self.exchange_over(call, self.pool_backoff.connection()).await
     }
 
     async fn exchange_over(&self, call: &Call, connection: Connection) -> Result<Answer> {
         let answer = self.try_exchange(call, connection).await;
         answer.map_err(|err| {
             if err.timed_out {
-                self.silence.begin(self.options.client.idle_timeout);
+                self.pool_backoff.start(self.options.client.idle_timeout);
             }
             match err.verdict() {
                 Verdict::NotRun => Error::Unavailable { message: err.to_string() },
@@ -158,18 +162,18 @@
     }
 }
 
-impl Silence {
+impl PoolBackoff {
     fn connection(&self) -> Connection {
-        let is_silent = self.clock.now().0 < self.until.load(Ordering::Relaxed);
-        if is_silent { Connection::New } else { Connection::Pooled }
+        let is_active = self.clock.now().0 < self.until.load(Ordering::Relaxed);
+        if is_active { Connection::New } else { Connection::Pooled }
     }
 
-    fn begin(&self, span: Millis) {
-        self.until.store((self.clock.now() + span).0, Ordering::Relaxed);
+    fn start(&self, duration: Millis) {
+        self.until.store((self.clock.now() + duration).0, Ordering::Relaxed);
     }
 }
 
-/// `Call` is one call's content, from which each try makes its own request.
+/// `Call` holds the content of a call, from which each try builds its own request.
 #[derive(Debug)]
 struct Call {
     method: Method,
@@ -191,7 +195,7 @@
     }
 }
 
-/// `Answer` is an answer that came whole.
+/// `Answer` is a completely received answer.
 #[derive(Debug)]
 struct Answer {
     status: StatusCode,
@@ -199,7 +203,7 @@
 }
 
 impl Answer {
-    /// Returns the body of a success, or nothing if what was asked for is absent.
+    /// Returns the body of a successful answer, or `None` if the requested object does not exist.
     fn found(self) -> Result<Option<Bytes>> {
         match self.status {
             StatusCode::OK => Ok(Some(self.body)),
@@ -217,7 +221,7 @@
     fn expect_stored(self) -> Result<()> {
         match self.status {
             StatusCode::NO_CONTENT => Ok(()),
-            status => Err(as_lost(unexpected(status))),
+            status => Err(into_answer_lost(unexpected(status))),
         }
     }
 }
@@ -239,8 +243,8 @@
 
     async fn commit(&self, txn: &Transaction) -> Result<Commit> {
         let call = Call::write(Method::POST, wire::COMMIT_PATH.to_owned(), encode(txn)?);
-        // Whatever else comes back, the service had the transaction and may have carried it out.
-        self.exchange(&call).await?.decode().map_err(as_lost)
+        // With any other answer, the service received the transaction and may have executed it.
+        self.exchange(&call).await?.decode().map_err(into_answer_lost)
     }
 }
 
@@ -268,20 +272,20 @@
 }
 
 fn path_with(path: &str, query: &[(&str, &str)]) -> Result<String> {
-    let query = serde_urlencoded::to_string(query).map_err(unsendable)?;
+    let query = serde_urlencoded::to_string(query).map_err(encode_error)?;
     Ok(format!("{path}?{query}"))
 }
 
 fn encode<T: Serialize>(value: &T) -> Result<Bytes> {
-    serde_json::to_vec(value).map(Bytes::from).map_err(unsendable)
+    serde_json::to_vec(value).map(Bytes::from).map_err(encode_error)
 }
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body).map_err(|err| Error::BadAnswer { message: err.to_string() })
 }
 
-/// Returns the error for a call that could not be put into its form, and so was not sent.
-fn unsendable(err: impl std::fmt::Display) -> Error {
+/// Returns the error for a call that could not be encoded and was therefore not sent.
+fn encode_error(err: impl std::fmt::Display) -> Error {
     Error::Unavailable { message: format!("cannot encode the call: {err}") }
 }
 
@@ -289,8 +293,9 @@
     Error::BadAnswer { message: format!("unexpected status {status}") }
 }
 
-/// Returns the error of a write whose answer says nothing about its effect.
-fn as_lost(err: Error) -> Error {
+/// Converts an invalid answer to a write into a lost one, because it does not show whether the write
+/// took effect.
+fn into_answer_lost(err: Error) -> Error {
     match err {
         Error::BadAnswer { message } => Error::AnswerLost { message },
         err => err,
--- a/crates/anvilhook-platform/src/instance_lists.rs
+++ b/crates/anvilhook-platform/src/instance_lists.rs
@@ -1,4 +1,4 @@
-//! The platform's list of live and leaving instances. It lags behind.
+//! The platform's list of instances and upstreams. It lags behind their actual state.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -8,34 +8,34 @@
 
 use crate::errors::Result;
 
-/// `ListedState` is what the platform says of an instance.
+/// `ListedState` is the state that the platform reports for an instance.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ListedState {
-    /// It runs.
+    /// The instance is running.
     Live,
-    /// It has been asked to leave.
+    /// The instance has been asked to leave.
     Leaving,
-    /// It is gone for good: its process can never run again. A listed instance that vanishes from
-    /// the list without this state is not known to be gone.
+    /// The instance has terminated permanently: its process can never run again. An instance that
+    /// disappears from the list without this state is not known to have terminated.
     Gone,
 }
 
-/// `ListedInstance` is one line of the list: an instance of the system or an upstream.
+/// `ListedInstance` is one entry of the list: an instance of the system or an upstream.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct ListedInstance {
-    /// Its name. Instances of the system and upstreams share one space of names here.
+    /// The name. Instances of the system and upstreams share one namespace here.
     pub name: UpstreamName,
-    /// Where it listens; of an instance of the system, its peer address.
+    /// The listening address; for an instance of the system, its peer address.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The availability zone.
     pub zone: ZoneName,
-    /// Its state some time ago.
+    /// The state, which may be outdated.
     pub state: ListedState,
 }
 
-/// `InstanceList` is the platform's list.
+/// `InstanceList` reads the platform's list.
 pub trait InstanceList: Clone + Send + Sync + 'static {
-    /// Returns the list as it was some time ago.
+    /// Returns the list, which may be outdated.
     fn list(&self) -> impl Future<Output = Result<Vec<ListedInstance>>> + Send;
 }
--- a/crates/anvilhook-platform/src/lib.rs
+++ b/crates/anvilhook-platform/src/lib.rs
@@ -1,8 +1,8 @@
-//! The platform's services as the system sees them: a transactional table, an object store and a
-//! lagging list of instances.
+//! Interfaces to the platform's services: a transactional table, an object store and a lagging list
+//! of instances.
 //!
-//! The traits are what the decisions rest on; `wire` is the form in which the one HTTP binding
-//! and the stand-in speak of them. Another site's form becomes another binding beside it.
+//! The rest of the system depends on the traits only. `wire` defines the HTTP protocol between the
+//! one binding and the stand-in. A site with another protocol needs an additional binding.
 #![forbid(unsafe_code)]
 
 pub mod errors;
--- a/crates/anvilhook-platform/src/objects.rs
+++ b/crates/anvilhook-platform/src/objects.rs
@@ -1,4 +1,4 @@
-//! The object store, for what is large and only archived.
+//! The object store, for large objects that are only archived.
 
 use std::future::Future;
 
@@ -6,14 +6,14 @@
 
 use crate::errors::Result;
 
-/// `ObjectStore` keeps objects under keys. Storing an object again replaces it.
+/// `ObjectStore` stores objects by key. Storing a key again replaces its object.
 pub trait ObjectStore: Clone + Send + Sync + 'static {
     /// Stores an object.
     fn put(&self, key: &str, value: Bytes) -> impl Future<Output = Result<()>> + Send;
 
-    /// Returns an object, if it is there.
+    /// Returns an object, or `None` if it does not exist.
     fn get(&self, key: &str) -> impl Future<Output = Result<Option<Bytes>>> + Send;
 
-    /// Returns the keys that begin with `prefix`, in order.
+    /// Returns the keys that start with `prefix`, in order.
     fn list(&self, prefix: &str) -> impl Future<Output = Result<Vec<String>>> + Send;
 }
--- a/crates/anvilhook-platform/src/tables.rs
+++ b/crates/anvilhook-platform/src/tables.rs
@@ -1,4 +1,4 @@
-//! The transactional table: rows under keys, versions, compare-and-set over several rows.
+//! The transactional table: rows with keys and versions, and compare-and-set over several rows.
 
 use std::fmt;
 use std::future::Future;
@@ -14,7 +14,7 @@
 pub struct RowKey(Arc<str>);
 
 impl RowKey {
-    /// Makes a key of its text.
+    /// Creates a key from its text.
     pub fn new(text: impl AsRef<str>) -> Self {
         Self(Arc::from(text.as_ref()))
     }
@@ -34,12 +34,12 @@
 /// `Row` is a stored row.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Row {
-    /// Its key.
+    /// The row's key.
     pub key: RowKey,
-    /// Its version: 1 for a new row, one more at each write of it. A row deleted and stored anew
-    /// begins at 1 again.
+    /// The row's version: 1 for a new row, incremented by each write. A row that is deleted and
+    /// stored again starts at 1 again.
     pub version: u64,
-    /// Its value, a JSON document in text.
+    /// The row's value, a JSON document as text.
     pub value: String,
 }
 
@@ -72,31 +72,31 @@
         /// The value.
         value: String,
     },
-    /// Removes the row with a key, if there is one.
+    /// Removes the row with a key, if it exists.
     Delete {
         /// The key.
         key: RowKey,
     },
 }
 
-/// `Transaction` takes effect whole, or not at all.
+/// `Transaction` is a set of conditions and writes that takes effect completely or not at all.
 #[derive(Clone, Debug, Default, Deserialize, Eq, PartialEq, Serialize)]
 pub struct Transaction {
-    /// All must hold.
+    /// The conditions, all of which must hold.
     pub conditions: Vec<Condition>,
-    /// All are done, in order.
+    /// The writes, which are executed in order.
     pub writes: Vec<Write>,
 }
 
-/// `Commit` is what became of a transaction.
+/// `Commit` is the outcome of a transaction.
 #[derive(Clone, Debug, Deserialize, Eq, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "outcome")]
 pub enum Commit {
-    /// It took effect.
+    /// The transaction took effect.
     Done,
-    /// A condition did not hold, and nothing was done.
+    /// A condition did not hold, and the transaction had no effect.
     Conflict {
-        /// The rows that the conditions name, as they stand; absent ones are left out.
+        /// The current rows of the keys in the conditions, without absent ones.
         standing: Vec<Row>,
     },
 }
@@ -106,7 +106,7 @@
     /// Reads one row.
     fn read(&self, key: &RowKey) -> impl Future<Output = Result<Option<Row>>> + Send;
 
-    /// Reads up to `limit` rows whose keys begin with `prefix` and come after `after`, in order.
+    /// Reads at most `limit` rows whose keys start with `prefix` and come after `after`, in order.
     fn scan(
         &self,
         prefix: &str,
@@ -114,8 +114,8 @@
         limit: usize,
     ) -> impl Future<Output = Result<Vec<Row>>> + Send;
 
-    /// Carries out a transaction.
+    /// Executes a transaction.
     ///
-    /// After `Error::AnswerLost` it may have taken effect; the caller must read back.
+    /// After `Error::AnswerLost` the transaction may have taken effect, and the caller must read back.
     fn commit(&self, txn: &Transaction) -> impl Future<Output = Result<Commit>> + Send;
 }
--- a/crates/anvilhook-platform/src/wire.rs
+++ b/crates/anvilhook-platform/src/wire.rs
@@ -1,4 +1,4 @@
-//! The HTTP form of the platform's services that this binding and the stand-in speak.
+//! Defines the HTTP protocol of the platform's services, as used by the binding and the stand-in.
 //!
 //! | call | path | body | answer |
 //! |---|---|---|---|
@@ -9,22 +9,22 @@
 //! | get an object | `GET /objects?key=K` | | 200 with bytes, 404 if absent |
 //! | list objects | `GET /objects/list?prefix=P` | | 200 with a list of keys |
 //! | list instances | `GET /instances` | | 200 with a list of `ListedInstance` |
-//! | enter the list | `PUT /instances` | `ListedInstance` | 204 |
+//! | add or replace an instance | `PUT /instances` | `ListedInstance` | 204 |
 //!
-//! Status 503 with header `x-platform-refused: true` says that the call had no effect. Any other
-//! failure of a commit leaves its effect unknown.
+//! Status 503 with the header `x-platform-refused: true` means that the call had no effect. After
+//! any other failure of a commit, its effect is unknown.
 
-/// Reads one row.
+/// The path for reading one row.
 pub const ROW_PATH: &str = "/table/row";
-/// Scans rows.
+/// The path for scanning rows.
 pub const SCAN_PATH: &str = "/table/scan";
-/// Commits a transaction.
+/// The path for committing a transaction.
 pub const COMMIT_PATH: &str = "/table/commit";
-/// Stores and returns objects.
+/// The path for storing and reading objects.
 pub const OBJECTS_PATH: &str = "/objects";
-/// Lists objects.
+/// The path for listing objects.
 pub const OBJECT_LIST_PATH: &str = "/objects/list";
-/// Lists instances, and takes the platform's own entries in the stand-in.
+/// The path for listing instances and, at the stand-in, for adding or replacing them.
 pub const INSTANCES_PATH: &str = "/instances";
-/// On status 503, says that the call had no effect.
+/// The header that, on status 503, indicates that the call had no effect.
 pub const REFUSED_HEADER: &str = "x-platform-refused";
