--- a/crates/anvilhook-api/src/clients.rs
+++ b/crates/anvilhook-api/src/clients.rs
@@ -1,4 +1,4 @@
-//! A client of the API.
+//! The client of the operator API.
 
 use std::net::SocketAddr;
 
@@ -22,12 +22,12 @@
 use crate::refusals::RefusalBody;
 use crate::watches::WatchReader;
 
-/// `ApiClientOptions` bounds the calls.
+/// `ApiClientOptions` bounds the calls of a client.
 #[derive(Clone, Copy, Debug)]
 pub struct ApiClientOptions {
-    /// The longest wait for the head of an answer, and for its body.
+    /// The maximum time to the head of an answer, and again from there to the end of its body.
     pub timeout: Millis,
-    /// The largest answer, in bytes.
+    /// The maximum size of an answer, in bytes.
     pub max_answer_bytes: usize,
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// `ApiClient` calls one instance. It sends no change twice by itself.
+/// `ApiClient` calls one instance. It never resends a change by itself.
 #[derive(Clone)]
 pub struct ApiClient {
     http: HttpClient,
@@ -47,12 +47,12 @@
 }
 
 impl ApiClient {
-    /// Makes a client of the instance whose operator front listens at `address`.
+    /// Creates a client of the instance whose operator front listens at `address`.
     ///
     /// # Errors
     ///
-    /// `Error::BadAnswer` if the token cannot stand in a header, and `Error::Call` if the client
-    /// cannot be made.
+    /// `Error::BadAnswer` if the token is not a valid header value, and `Error::Call` if the client
+    /// cannot be created.
     pub fn try_new(
         address: SocketAddr,
         token: Option<&str>,
@@ -70,7 +70,7 @@
     ///
     /// # Errors
     ///
-    /// As every call: `Error::Call`, `Error::Refused` or `Error::BadAnswer`.
+    /// `Error::Call`, `Error::Refused` or `Error::BadAnswer`, like every call.
     pub async fn list(&self, kind: Kind) -> Result<ResourceList> {
         self.get_json(paths::kind(kind)).await
     }
@@ -93,11 +93,11 @@
         self.get_json(paths::resource(key)).await
     }
 
-    /// Declares a resource, or replaces the version that the body names.
+    /// Declares a resource, or replaces the version given in the body.
     ///
     /// # Errors
     ///
-    /// As `list`; the error's verdict says whether the change may have been accepted.
+    /// As `list`; the error's verdict indicates whether the change may have been accepted.
     pub async fn put(
         &self,
         key: &ResourceKey,
@@ -125,7 +125,7 @@
         self.json(req.map_err(Error::bad_answer)?).await
     }
 
-    /// Asks what became of a change. `base` is what `Code::Unknown` came with.
+    /// Returns the state of a change. `base` is the revision from a refusal with `Code::Unknown`.
     ///
     /// # Errors
     ///
@@ -139,7 +139,7 @@
         self.get_json(format!("{}{query}", paths::change(id))).await
     }
 
-    /// Lists a part of the audit trail; the newest entries if `from` is not given.
+    /// Lists a part of the audit trail, starting at `from`, or the newest entries without `from`.
     ///
     /// # Errors
     ///
@@ -149,7 +149,7 @@
         self.get_json(format!("{}?limit={limit}{from}", paths::AUDIT)).await
     }
 
-    /// Returns the state of the system as the instance sees it.
+    /// Returns the state of the system in the instance's view.
     ///
     /// # Errors
     ///
@@ -158,7 +158,7 @@
         self.get_json(paths::STATUS.to_owned()).await
     }
 
-    /// Returns what a resource waits for.
+    /// Returns the conditions that a resource is waiting for.
     ///
     /// # Errors
     ///
@@ -171,7 +171,7 @@
     ///
     /// # Errors
     ///
-    /// As `list`; `Code::TooOld` asks to list and to watch from the list's revision.
+    /// As `list`; on `Code::TooOld`, list the resources and watch from the list's revision.
     pub async fn watch(&self, from: Revision) -> Result<WatchReader> {
         let path = format!("{}?from={}", paths::WATCH, from.0);
         let req = self.request(Method::GET, path).body(Body::empty());
@@ -204,7 +204,7 @@
         serde_json::from_slice(&buf).map_err(Error::bad_answer)
     }
 
-    /// Sends a request, and reads the refusal if it is refused.
+    /// Sends a request, and decodes the refusal if the request is refused.
     async fn send(&self, req: Request<Body>) -> Result<Response> {
         let timeout = self.options.timeout;
         let answer = self.http.send(self.address, req, Connection::New, timeout).await?;
--- a/crates/anvilhook-api/src/errors.rs
+++ b/crates/anvilhook-api/src/errors.rs
@@ -1,4 +1,4 @@
-//! Failures of a call of the API, as its client sees them.
+//! Errors of calls to the API on the client's side.
 
 use std::fmt;
 
@@ -7,30 +7,30 @@
 
 use crate::refusals::{Code, Refusal};
 
-/// A result with the client's error.
+/// A result whose error is a failed call to the API.
 pub type Result<T> = std::result::Result<T, Error>;
 
-/// `Error` is why a call of the API brought no answer.
+/// `Error` is a failed call to the API.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Error {
-    /// Returned when the instance could not be reached, or its answer did not come whole.
+    /// Returned when the instance could not be reached, or its answer was not received completely.
     Call(CallError),
-    /// Returned when the instance refused.
+    /// Returned when the instance refused the request.
     Refused(Box<Refusal>),
-    /// Returned when the answer cannot be understood.
+    /// Returned when the answer cannot be decoded.
     BadAnswer {
-        /// What was wrong with it.
+        /// What is wrong with the answer.
         message: String,
     },
 }
 
 impl Error {
-    /// Returns an error for an answer that cannot be understood.
+    /// Returns an error for an answer that cannot be decoded.
     pub fn bad_answer(message: impl fmt::Display) -> Self {
         Error::BadAnswer { message: message.to_string() }
     }
 
-    /// Returns the refusal's code, if the instance refused.
+    /// Returns the refusal's code, if the instance refused the request.
     pub fn code(&self) -> Option<Code> {
         match self {
             Error::Refused(refusal) => Some(refusal.code),
--- a/crates/anvilhook-api/src/lib.rs
+++ b/crates/anvilhook-api/src/lib.rs
@@ -1,7 +1,7 @@
 //! The operator API: its paths and messages, and a client of it.
 //!
-//! The messages are what the daemon's handlers answer and what the command line reads, so that both
-//! change together.
+//! The daemon's handlers and the command line share these message types, so that both change
+//! together.
 #![forbid(unsafe_code)]
 
 pub mod clients;
--- a/crates/anvilhook-api/src/paths.rs
+++ b/crates/anvilhook-api/src/paths.rs
@@ -3,23 +3,23 @@
 use anvilhook_core::attempts::ChangeId;
 use anvilhook_core::resources::{Kind, ResourceKey};
 
-/// The beginning of all paths.
+/// The common prefix of all paths.
 pub const ROOT: &str = "/api/v1";
-/// All resources at one revision.
+/// The path of all resources at one revision.
 pub const CONFIGURATION: &str = "/api/v1/configuration";
-/// Changes as they are accepted.
+/// The path of the stream of accepted changes.
 pub const WATCH: &str = "/api/v1/watch";
-/// Who changed what.
+/// The path of the audit trail.
 pub const AUDIT: &str = "/api/v1/audit";
-/// Instances, their revisions and lease holders.
+/// The path of the status: instances, their revisions and lease holders.
 pub const STATUS: &str = "/api/v1/status";
-/// What became of a change.
+/// The path of the states of changes, followed by a change's id.
 pub const CHANGES: &str = "/api/v1/changes";
-/// What a resource waits for.
+/// The path of the conditions that a resource is waiting for, followed by the resource's key.
 pub const WHY: &str = "/api/v1/why";
 
-/// The header that carries the id of a change, in the request if the caller chooses it, and in
-/// every answer to a change.
+/// The header with the id of a change. A request may contain it to choose the id; every answer to a
+/// change contains it.
 pub const CHANGE_ID_HEADER: &str = "x-anvilhook-change-id";
 
 /// Returns the path of a kind's resources.
@@ -37,7 +37,7 @@
     format!("{CHANGES}/{id}")
 }
 
-/// Returns the path of what a resource waits for.
+/// Returns the path of the conditions that a resource is waiting for.
 pub fn why(key: &ResourceKey) -> String {
     format!("{WHY}/{}/{}", key.kind, key.name)
 }
--- a/crates/anvilhook-api/src/refusals.rs
+++ b/crates/anvilhook-api/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Refusals: why a request was not carried out, for programs and for people.
+//! The error answers of the API, with a code for programs and a message for operators.
 
 use anvilhook_core::attempts::ChangeId;
 use anvilhook_core::resources::Resource;
@@ -6,46 +6,46 @@
 use http::StatusCode;
 use serde::{Deserialize, Serialize};
 
-/// `Code` says in one word why a request was not carried out.
+/// `Code` is the reason why a request was not executed.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Code {
-    /// The request cannot be understood.
+    /// The request is malformed.
     BadRequest,
-    /// A field breaks its rule; `field` names it.
+    /// A field is invalid; `field` names it.
     BadField,
-    /// There is no bearer token, or it is nobody's.
+    /// The bearer token is missing or unknown.
     Unauthenticated,
-    /// The token gives the right to read only.
+    /// The token grants read access only.
     Forbidden,
-    /// There is no such thing.
+    /// The requested object does not exist.
     NotFound,
-    /// The resource is not what the change expected; `standing` shows what it is.
+    /// The resource is not in the state that the change expected; `standing` is its current state.
     Conflict,
-    /// Something else still needs the resource; `needed_by` lists it.
+    /// Other resources still need the resource; `needed_by` lists them.
     InUse,
-    /// The change's id belongs to another change.
+    /// The change's id was already used by another change.
     ChangeIdReused,
-    /// The change does not say which version it replaces.
+    /// The change does not specify which version it replaces.
     VersionMissing,
-    /// The changes asked for are archived; start anew from a list.
+    /// The requested changes are archived; start again from a list.
     TooOld,
     /// The body is too large.
     TooLarge,
-    /// The instance has as many watchers as it takes.
+    /// The instance already has its maximum number of watchers.
     TooManyWatchers,
-    /// The platform could not be asked. A change was not accepted.
+    /// The platform could not be reached, and the change was not accepted.
     NotAccepted,
-    /// It is not known whether the change was accepted. Ask by `change_id` and `base`.
+    /// It is not known whether the change was accepted. Query its state with `change_id` and `base`.
     Unknown,
     /// The platform could not be read.
     Unavailable,
-    /// What is stored cannot be read; an operator of the platform has to look.
+    /// The stored data cannot be decoded; an operator of the platform must investigate.
     Internal,
 }
 
 impl Code {
-    /// Returns the HTTP status that goes with the code.
+    /// Returns the HTTP status of the code.
     pub fn status(self) -> StatusCode {
         match self {
             Code::BadRequest | Code::BadField => StatusCode::BAD_REQUEST,
@@ -59,49 +59,50 @@
             Code::TooManyWatchers | Code::NotAccepted | Code::Unavailable => {
                 StatusCode::SERVICE_UNAVAILABLE
             }
-            // The change may have been accepted: neither a success nor a plain failure.
+            // The change may have been accepted, so this is neither a success nor a definite
+            // failure.
             Code::Unknown => StatusCode::GATEWAY_TIMEOUT,
             Code::Internal => StatusCode::INTERNAL_SERVER_ERROR,
         }
     }
 }
 
-/// `Refusal` is the body of every answer that is not a success.
+/// `RefusalBody` is the body of every answer that is not a success.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct RefusalBody {
-    /// Why.
+    /// The refusal.
     pub error: Refusal,
 }
 
-/// `Refusal` says why a request was not carried out, and what to do.
+/// `Refusal` explains why a request was not executed and what the caller can do.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 pub struct Refusal {
-    /// Why, for programs.
+    /// The reason, for programs.
     pub code: Code,
-    /// Why, for people, and what to do.
+    /// The reason and what to do, for operators.
     pub message: String,
-    /// The field that breaks its rule.
+    /// The invalid field.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub field: Option<String>,
-    /// The resource as it stands, after a conflict.
+    /// The current resource, after a conflict.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub standing: Option<Box<Resource>>,
-    /// What still needs the resource.
+    /// The resources and fields that still need the resource.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub needed_by: Vec<String>,
-    /// The change to ask for.
+    /// The id with which to query the change's state.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub change_id: Option<ChangeId>,
-    /// The revision to ask for the change with.
+    /// The revision with which to query the change's state.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base: Option<Revision>,
-    /// The oldest change that can be watched from.
+    /// The oldest revision from which changes can be watched.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub oldest: Option<Revision>,
 }
 
 impl Refusal {
-    /// Makes a refusal without particulars.
+    /// Creates a refusal with a code and a message only.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Makes a refusal for a field that breaks its rule.
+    /// Creates a refusal for an invalid field.
     pub fn bad_field(field: &str, expected: impl std::fmt::Display) -> Self {
         let message = format!("{field}: expected {expected}");
         Self { field: Some(field.to_owned()), ..Self::new(Code::BadField, message) }
--- a/crates/anvilhook-api/src/watches.rs
+++ b/crates/anvilhook-api/src/watches.rs
@@ -1,4 +1,4 @@
-//! Watching changes as they are accepted.
+//! Watches changes as they are accepted.
 
 use anvilhook_core::resources::{Resource, ResourceKey};
 use anvilhook_core::units::Revision;
@@ -9,8 +9,8 @@
 
 use crate::errors::{Error, Result};
 
-/// `WatchEvent` is one event of a watch. Its type is the event's name and its revision the event's
-/// id.
+/// `WatchEvent` is one event of a watch. In the event stream, its type is the event's name and its
+/// revision the event's id.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", tag = "type")]
 pub enum WatchEvent {
@@ -25,16 +25,16 @@
     Delete {
         /// The revision of the change.
         revision: Revision,
-        /// The resource that was there.
+        /// The deleted resource.
         key: ResourceKey,
     },
-    /// Nothing up to this revision is missing. A later watch can begin here.
+    /// All changes up to this revision have been sent. A later watch can start here.
     Bookmark {
         /// The revision.
         revision: Revision,
     },
-    /// The watcher has fallen behind what is kept. It has to list and watch from the list's
-    /// revision.
+    /// The watcher has fallen behind the retained changes. It must list the resources and watch from
+    /// the list's revision.
     TooOld {
         /// The revision after which changes are missing.
         revision: Revision,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Returns the revision that the event is about.
+    /// Returns the revision of the event.
     pub fn revision(&self) -> Revision {
         match self {
             WatchEvent::Put { revision, .. }
@@ -73,19 +73,19 @@
         Self { events }
     }
 
-    /// Returns the next event, or nothing when the instance has ended the watch: it stops, or the
-    /// watcher was too slow. A watch from the last revision goes on.
+    /// Returns the next event, or `None` if the instance has ended the watch because it stops or
+    /// because the watcher was too slow. A new watch from the last revision continues.
     ///
     /// # Errors
     ///
-    /// `Error::Call` if the connection broke and `Error::BadAnswer` for an event that cannot be
-    /// understood.
+    /// `Error::Call` if the connection failed and `Error::BadAnswer` for an event that cannot be
+    /// decoded.
     pub async fn next(&mut self) -> Result<Option<WatchEvent>> {
         loop {
             let read = self.events.read().await;
             let event = read.map_err(|err| Error::Call(CallError::broken(Stage::Body, err)))?;
             let Some(event) = event else { return Ok(None) };
-            // An event without data keeps the connection alive.
+            // An event without data only keeps the connection alive.
             if let Some(data) = event.data() {
                 return serde_json::from_str(data).map(Some).map_err(Error::bad_answer);
             }
