--- a/crates/anvilhook-http/src/clients.rs
+++ b/crates/anvilhook-http/src/clients.rs
@@ -124,7 +124,7 @@
 ///
 /// A `CallError` of stage `Body` if the body is truncated, larger than `max_bytes`, or pauses for
 /// longer than `idle_timeout`.
-pub async fn collect_moving_body(
+pub async fn collect_body_with_idle_timeout(
     body: Body,
     max_bytes: usize,
     idle_timeout: Millis,
