--- a/crates/anvilhook-ctl/src/applies.rs
+++ b/crates/anvilhook-ctl/src/applies.rs
@@ -1,4 +1,4 @@
-//! Declaring the resources of files.
+//! The `apply` subcommand: declares the resources of files.
 
 use std::io::Write;
 
@@ -12,7 +12,7 @@
 use crate::exits::{Failure, Result};
 use crate::{Context, diffs};
 
-/// `Outcome` is what became of one resource.
+/// `Outcome` is the reported result for one resource.
 #[derive(Serialize)]
 struct Outcome {
     key: String,
@@ -21,16 +21,16 @@
     revision: Option<Revision>,
 }
 
-/// `Step` is one resource that differs from what stands.
+/// `Step` is one declared resource together with its current version.
 struct Step<'a> {
     declared: &'a Declared,
-    standing: Option<Resource>,
+    current: Option<Resource>,
 }
 
 /// Declares the resources, or shows what would change.
 ///
-/// Everything is checked against the whole configuration before anything is sent, so that a mistake
-/// in the last document does not leave the first ones changed.
+/// All resources are checked against the whole configuration before any is sent, so that an error in
+/// the last document does not leave the first ones changed.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>, args: &ApplyArgs) -> Result<()> {
     let declared = read_all(&args.file)?;
     let listed = cx.client.configuration().await?;
@@ -40,7 +40,7 @@
         if args.dry_run {
             show_difference(cx, step)?;
         } else {
-            carry_out(cx, step).await?;
+            execute(cx, step).await?;
         }
     }
     if args.dry_run && cx.output == Output::Table {
@@ -60,31 +60,31 @@
             Failure::bad_input(message)
         })?;
         after = after.with_change(base.revision(), &change);
-        let standing = base.get(&resource.key).map(|found| Resource::clone(found));
-        steps.push(Step { declared: resource, standing });
+        let current = base.get(&resource.key).map(|found| Resource::clone(found));
+        steps.push(Step { declared: resource, current });
     }
     Ok(steps)
 }
 
 impl Step<'_> {
-    fn standing_spec(&self) -> Option<&Spec> {
-        self.standing.as_ref().map(|standing| &standing.spec)
+    fn current_spec(&self) -> Option<&Spec> {
+        self.current.as_ref().map(|current| &current.spec)
     }
 
     fn is_unchanged(&self) -> bool {
-        self.standing_spec() == Some(&self.declared.spec)
+        self.current_spec() == Some(&self.declared.spec)
     }
 
-    /// Returns the version that the change replaces: what the file says, else what was read. A
-    /// change by someone else in between is then a conflict and not undone.
+    /// Returns the version that the change replaces: the one given in the file, otherwise the one
+    /// that was read. A concurrent change then causes a conflict and is not overwritten.
     fn version(&self) -> Revision {
-        let standing = self.standing.as_ref().map_or(Revision::default(), |found| found.version);
-        self.declared.version.unwrap_or(standing)
+        let current = self.current.as_ref().map_or(Revision::default(), |found| found.version);
+        self.declared.version.unwrap_or(current)
     }
 }
 
 fn show_difference<W: Write>(cx: &mut Context<'_, W>, step: &Step<'_>) -> Result<()> {
-    let outcome = match (&step.standing, step.is_unchanged()) {
+    let outcome = match (&step.current, step.is_unchanged()) {
         (_, true) => "unchanged",
         (None, false) => "would be created",
         (Some(_), false) => "would be replaced",
@@ -92,19 +92,19 @@
     report(cx, step, outcome, None)?;
     if cx.output == Output::Table && !step.is_unchanged() {
         let key = &step.declared.key;
-        let diff = diffs::show(key, step.standing_spec(), Some(&step.declared.spec))?;
+        let diff = diffs::show(key, step.current_spec(), Some(&step.declared.spec))?;
         cx.line(diff.trim_end())?;
     }
     Ok(())
 }
 
-async fn carry_out<W: Write>(cx: &mut Context<'_, W>, step: &Step<'_>) -> Result<()> {
+async fn execute<W: Write>(cx: &mut Context<'_, W>, step: &Step<'_>) -> Result<()> {
     if step.is_unchanged() {
         return report(cx, step, "unchanged", None);
     }
     let declared = step.declared;
     let answer = send(cx, &declared.key, Operation::Put(&declared.spec), step.version()).await?;
-    let outcome = if step.standing.is_some() { "replaced" } else { "created" };
+    let outcome = if step.current.is_some() { "replaced" } else { "created" };
     report(cx, step, outcome, Some(answer.revision))
 }
 
--- a/crates/anvilhook-ctl/src/arguments.rs
+++ b/crates/anvilhook-ctl/src/arguments.rs
@@ -1,41 +1,41 @@
-//! The command line's arguments.
+//! Defines and parses the command line's arguments.
 
 use anvilhook_core::names::{PoolName, ResourceName, UpstreamName, ZoneName};
 use anvilhook_core::resources::{Kind, ResourceKey};
 use argh::FromArgs;
 
-/// Options that may stand anywhere on the line, each with a value.
+/// The options that are accepted anywhere on the command line. Each takes a value.
 const GLOBAL_OPTIONS: [&str; 5] = ["--server", "--token", "--token-file", "--output", "-o"];
 
-/// Declare what the system should be, watch it converge, and read why it has not.
+/// Declare the desired state of the system, watch it converge, and show why it has not converged.
 ///
-/// The server is an operators' front of any instance. Exit codes: 0 done, 1 wrong input, 2
+/// The server is the operators' address of any instance. Exit codes: 0 done, 1 wrong input, 2
 /// unavailable, 3 not allowed, 4 not found, 5 conflict, 6 unknown whether accepted, 7 other failures.
 #[derive(Debug, FromArgs)]
 pub struct Options {
-    /// the instance's address, such as 127.0.0.1:7300; else $ANVILHOOK_SERVER
+    /// the instance's address, such as 127.0.0.1:7300; default: $ANVILHOOK_SERVER
     #[argh(option)]
     pub server: Option<String>,
-    /// the bearer token; else --token-file, $ANVILHOOK_TOKEN or $ANVILHOOK_TOKEN_FILE
+    /// the bearer token; default: --token-file, $ANVILHOOK_TOKEN or $ANVILHOOK_TOKEN_FILE
     #[argh(option)]
     pub token: Option<String>,
-    /// a file that holds the bearer token
+    /// a file that contains the bearer token
     #[argh(option)]
     pub token_file: Option<String>,
     /// table (the default) or json
     #[argh(option, short = 'o', default = "Output::Table")]
     pub output: Output,
-    /// what to do
+    /// the subcommand
     #[argh(subcommand)]
     pub command: Command,
 }
 
-/// `Output` is the form of what a command shows.
+/// `Output` is the format of a command's output.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Output {
-    /// For people.
+    /// Text for operators.
     Table,
-    /// For programs.
+    /// JSON for programs.
     Json,
 }
 
@@ -51,7 +51,7 @@
     }
 }
 
-/// `Command` is what to do.
+/// `Command` is the subcommand with its arguments.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand)]
 pub enum Command {
@@ -63,21 +63,21 @@
     Delete(DeleteArgs),
     /// Take engines out of service.
     Drain(DrainArgs),
-    /// Ask what became of a change.
+    /// Show the state of a change.
     Change(ChangeArgs),
     /// Watch changes.
     Watch(WatchArgs),
-    /// Show what a resource waits for.
+    /// Show the conditions that a resource is waiting for.
     Why(WhyArgs),
-    /// Show who changed what.
+    /// Show the audit trail of changes.
     Audit(AuditArgs),
     /// Show instances, revisions and lease holders.
     Status(StatusArgs),
-    /// Tell the story of a request from logs.
+    /// Show the history of a request from logs.
     Explain(ExplainArgs),
 }
 
-/// Show resources: all, those of a kind, or one.
+/// Show all resources, the resources of a kind, or one resource.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "get")]
 pub struct GetArgs {
@@ -86,8 +86,8 @@
     pub target: Option<Target>,
 }
 
-/// Declare the resources of YAML files, each of which may hold several documents. What refers to
-/// another resource is sent after it, whatever the order in the files.
+/// Declare the resources of YAML files, each of which may contain several documents. A resource that
+/// refers to another one is sent after it, regardless of the order in the files.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "apply")]
 pub struct ApplyArgs {
@@ -106,12 +106,12 @@
     /// KIND/NAME
     #[argh(positional, from_str_fn(parse_key))]
     pub key: ResourceKey,
-    /// delete only this version; else the one that stands now
+    /// delete only this version; default: the current version
     #[argh(option)]
     pub version: Option<u64>,
 }
 
-/// Declare a plan that takes engines of a pool out of service without cutting a request.
+/// Declare a plan that takes engines of a pool out of service without aborting requests.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "drain")]
 pub struct DrainArgs {
@@ -121,31 +121,31 @@
     /// an engine to drain; may be repeated
     #[argh(option)]
     pub engine: Vec<UpstreamName>,
-    /// an availability zone to drain, one after the other; may be repeated
+    /// an availability zone to drain; may be repeated, and zones are drained one after the other
     #[argh(option)]
     pub zone: Vec<ZoneName>,
-    /// the plan's name; else one is made up
+    /// the plan's name; default: a generated name
     #[argh(option)]
     pub name: Option<ResourceName>,
-    /// the most engines that drain at once, by default 1
+    /// the maximum number of engines that drain at the same time, by default 1
     #[argh(option, default = "1")]
     pub max_at_once: u32,
-    /// the least milliseconds between the drains of two engines, by default 0
+    /// the minimum time between the drains of two engines, in milliseconds, by default 0
     #[argh(option, default = "0")]
     pub pace_ms: u64,
-    /// the fewest engines of the pool that must go on serving, by default 1
+    /// the minimum number of engines of the pool that must continue to serve, by default 1
     #[argh(option, default = "1")]
     pub min_serving: u32,
 }
 
-/// Ask what became of a change whose answer was lost.
+/// Show the state of a change whose answer was lost.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "change")]
 pub struct ChangeArgs {
     /// the change's id
     #[argh(positional)]
     pub id: String,
-    /// the revision that came with the id
+    /// the revision that was printed with the id
     #[argh(option)]
     pub base: Option<u64>,
 }
@@ -157,15 +157,15 @@
     /// show only this kind
     #[argh(positional)]
     pub kind: Option<Kind>,
-    /// begin after this revision; else with what comes next
+    /// start after this revision; default: the current one
     #[argh(option)]
     pub from: Option<u64>,
-    /// end after so many changes
+    /// end after this number of changes
     #[argh(option)]
     pub count: Option<u64>,
 }
 
-/// Show on one screen what is wanted of a resource, what is, and what it waits for.
+/// Show the declared and the observed state of a resource, and the conditions that it is waiting for.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "why")]
 pub struct WhyArgs {
@@ -174,32 +174,33 @@
     pub key: ResourceKey,
 }
 
-/// Show who changed what, the newest changes unless --from is given.
+/// Show the audit trail: the newest changes, or those from a given revision.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "audit")]
 pub struct AuditArgs {
-    /// begin with this revision
+    /// start with this revision
     #[argh(option)]
     pub from: Option<u64>,
-    /// the most entries, by default 20
+    /// the maximum number of entries, by default 20
     #[argh(option, default = "20")]
     pub limit: usize,
 }
 
-/// Show instances, the revisions in force on them, and who holds which lease.
+/// Show instances, their active revisions, and the holders of leases.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "status")]
 pub struct StatusArgs {}
 
-/// Tell the story of one request over all instances, in order of time, with the beliefs behind its
-/// decisions and how old they were. Needs no server: it reads the instances' logs.
+/// Show the history of one request across all instances, ordered by time, with the cached state on
+/// which its decisions were based and the age of that state. Reads the instances' logs and needs no
+/// server.
 #[derive(Debug, FromArgs)]
 #[argh(subcommand, name = "explain")]
 pub struct ExplainArgs {
     /// the request's id
     #[argh(positional)]
     pub request: String,
-    /// log files, or - for standard input, which is read where none is given
+    /// log files, or - for standard input; default: standard input
     #[argh(positional)]
     pub files: Vec<String>,
     /// the same as --output json
@@ -210,7 +211,7 @@
 /// `Target` is a kind or one resource.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Target {
-    /// All of a kind.
+    /// All resources of a kind.
     Kind(Kind),
     /// One resource.
     Key(ResourceKey),
@@ -236,23 +237,24 @@
     Ok(ResourceKey { kind, name })
 }
 
-/// `Early` is an end before anything is done.
-pub(crate) struct Early {
-    /// Whether help was asked for.
+/// `EarlyExit` ends the program before a command is run, because help was requested or the arguments
+/// are wrong.
+pub(crate) struct EarlyExit {
+    /// Whether help was requested.
     pub is_help: bool,
-    /// What to show.
+    /// The text to print.
     pub text: String,
 }
 
-/// Reads the arguments.
-pub(crate) fn parse(args: &[&str]) -> Result<Options, Early> {
-    Options::from_args(&["anvilhook"], &hoist(args)).map_err(|early| Early {
+/// Parses the arguments.
+pub(crate) fn parse(args: &[&str]) -> Result<Options, EarlyExit> {
+    Options::from_args(&["anvilhook"], &hoist(args)).map_err(|early| EarlyExit {
         is_help: early.status.is_ok(),
         text: format!("{}\n", early.output.trim_end()),
     })
 }
 
-/// Moves the global options to the front, where the library wants them.
+/// Moves the global options to the front, where the argument parser requires them.
 fn hoist<'a>(args: &[&'a str]) -> Vec<&'a str> {
     let (mut front, mut rest) = (Vec::new(), Vec::new());
     let mut args = args.iter().copied();
--- a/crates/anvilhook-ctl/src/audits.rs
+++ b/crates/anvilhook-ctl/src/audits.rs
@@ -1,4 +1,4 @@
-//! Who changed what.
+//! The `audit` subcommand: shows who changed which resource.
 
 use std::io::Write;
 
--- a/crates/anvilhook-ctl/src/changes.rs
+++ b/crates/anvilhook-ctl/src/changes.rs
@@ -1,4 +1,4 @@
-//! Sending changes, and finding out what became of those whose answers were lost.
+//! Sends changes, and determines the state of changes whose answers were lost.
 
 use std::io::Write;
 use std::time::Duration;
@@ -13,24 +13,24 @@
 use crate::arguments::{ChangeArgs, Output};
 use crate::exits::{Exit, Failure, Result};
 
-/// The most times that a change is sent while it is not known whether it was accepted.
-const MAX_SENDINGS: usize = 3;
+/// The maximum number of tries to send a change while it is not known whether it was accepted.
+const MAX_TRIES: usize = 3;
 
-/// The pause between two sendings.
-const SENDING_PAUSE: Duration = Duration::from_millis(500);
+/// The pause between two tries.
+const RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// `Operation` is what a change does to a resource.
+/// `Operation` is the effect of a change on a resource.
 pub(crate) enum Operation<'a> {
-    /// Declare or replace.
+    /// Declares or replaces the resource.
     Put(&'a Spec),
-    /// Delete.
+    /// Deletes the resource.
     Delete,
 }
 
-/// Sends a change that replaces a version; zero for a resource that must not exist yet.
+/// Sends a change that replaces `version`, which is zero for a resource that must not exist yet.
 ///
-/// A change whose answer is lost is sent again with the same id, which settles it without making it
-/// twice.
+/// A change whose answer is lost is resent with the same id, which determines its outcome without
+/// applying it twice.
 pub(crate) async fn send<W: Write>(
     cx: &mut Context<'_, W>,
     key: &ResourceKey,
@@ -38,47 +38,47 @@
     version: Revision,
 ) -> Result<ChangeAnswer> {
     let id = ChangeId::random(cx.rng);
-    let mut doubt: Option<Doubt> = None;
-    for sending in 1..=MAX_SENDINGS {
-        if sending > 1 {
-            tokio::time::sleep(SENDING_PAUSE).await;
+    let mut unknown: Option<UnknownOutcome> = None;
+    for attempt in 1..=MAX_TRIES {
+        if attempt > 1 {
+            tokio::time::sleep(RETRY_PAUSE).await;
         }
         let err = match send_once(&cx.client, key, &op, version, id).await {
             Ok(answer) => return Ok(answer),
             Err(err) => err,
         };
         if err.verdict() == Verdict::MayHaveRun {
-            doubt = Some(Doubt::after(&err, doubt.as_ref()));
-        } else if doubt.is_none() || settles(&err) {
-            return Err(Failure::from(err).while_doing(key));
+            unknown = Some(UnknownOutcome::after(&err, unknown.as_ref()));
+        } else if unknown.is_none() || rejects_all_tries(&err) {
+            return Err(Failure::from(err).with_context(key));
         }
     }
-    let doubt = doubt.unwrap_or_default();
-    Err(doubt.into_failure(key, id))
+    let unknown = unknown.unwrap_or_default();
+    Err(unknown.into_failure(key, id))
 }
 
-/// Returns whether a refusal speaks of all sendings of the change.
+/// Returns whether a refusal shows that no try of the change was or will be accepted.
 ///
-/// One that comes from what the table holds does: the earlier sending passed the same checks, so
-/// the table has moved on and the earlier one can take effect no more. One that says that the table
-/// cannot be asked speaks of the last sending only; the first may have been accepted.
-fn settles(err: &Error) -> bool {
+/// A refusal that is based on the table's content does: an earlier try passed the same checks, so the
+/// table has changed since, and the earlier try can no longer take effect. A refusal because the table
+/// could not be reached concerns the last try only; an earlier one may have been accepted.
+fn rejects_all_tries(err: &Error) -> bool {
     let exit = Failure::from(err.clone()).exit;
-    let is_of_table = matches!(exit, Exit::BadInput | Exit::NotFound | Exit::Conflict);
-    matches!(err, Error::Refused(_)) && is_of_table
+    let is_from_content = matches!(exit, Exit::BadInput | Exit::NotFound | Exit::Conflict);
+    matches!(err, Error::Refused(_)) && is_from_content
 }
 
-/// `Doubt` is what is known of a change that may have been accepted.
+/// `UnknownOutcome` describes a change that may have been accepted.
 #[derive(Default)]
-struct Doubt {
+struct UnknownOutcome {
     reason: String,
-    /// The revision to ask with, if the instance named one for every sending in doubt. A sending
-    /// without one may still run there, on whatever revision it finds.
+    /// The revision with which to query the change's state, if the instance returned one for every
+    /// try with an unknown outcome. A try without one may still be applied, at any later revision.
     base: Option<Revision>,
 }
 
-impl Doubt {
-    fn after(err: &Error, earlier: Option<&Doubt>) -> Self {
+impl UnknownOutcome {
+    fn after(err: &Error, earlier: Option<&UnknownOutcome>) -> Self {
         let base = match err {
             Error::Refused(refusal) => refusal.base,
             Error::Call(_) | Error::BadAnswer { .. } => None,
@@ -117,7 +117,7 @@
     Ok(PutBody { kind: None, name: None, version: Some(version), spec, status: None })
 }
 
-/// Shows what became of a change.
+/// Shows the state of a change.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>, args: &ChangeArgs) -> Result<()> {
     let id: ChangeId = args
         .id
--- a/crates/anvilhook-ctl/src/connections.rs
+++ b/crates/anvilhook-ctl/src/connections.rs
@@ -1,4 +1,4 @@
-//! Which instance to ask, and by which token.
+//! Selects the instance to call and the token for it.
 
 use std::net::SocketAddr;
 
@@ -7,7 +7,7 @@
 use crate::arguments::Options;
 use crate::exits::{Failure, Result};
 
-/// `Environment` is what the process's environment says.
+/// `Environment` holds the environment variables that configure the command line.
 #[derive(Clone, Debug, Default)]
 pub struct Environment {
     /// `ANVILHOOK_SERVER`.
@@ -20,7 +20,7 @@
 
 impl Environment {
     /// Reads the process's environment.
-    pub fn of_this_process() -> Self {
+    pub fn from_process() -> Self {
         let read = |name: &str| std::env::var(name).ok().filter(|value| !value.is_empty());
         Self {
             server: read("ANVILHOOK_SERVER"),
@@ -30,7 +30,7 @@
     }
 }
 
-/// Makes the client that the options and the environment ask for.
+/// Creates a client from the options and the environment.
 pub(crate) fn connect(options: &Options, environment: &Environment) -> Result<ApiClient> {
     let server = options.server.as_ref().or(environment.server.as_ref());
     let Some(server) = server else {
@@ -46,7 +46,8 @@
     Ok(ApiClient::try_new(address, token.as_deref(), ApiClientOptions::default())?)
 }
 
-/// Finds the token: the command line goes before the environment, and a token before a file.
+/// Returns the token. The command line takes precedence over the environment, and a token over a
+/// token file.
 fn token(options: &Options, environment: &Environment) -> Result<Option<String>> {
     if let Some(token) = &options.token {
         return Ok(Some(token.clone()));
--- a/crates/anvilhook-ctl/src/deletes.rs
+++ b/crates/anvilhook-ctl/src/deletes.rs
@@ -1,4 +1,4 @@
-//! Deleting a resource.
+//! The `delete` subcommand: deletes a resource.
 
 use std::io::Write;
 
@@ -9,7 +9,7 @@
 use crate::changes::{Operation, send};
 use crate::exits::Result;
 
-/// Deletes a resource at the version given, or at the one that stands now.
+/// Deletes a resource at the given version, or at its current one.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>, args: &DeleteArgs) -> Result<()> {
     let version = match args.version {
         Some(version) => Revision(version),
--- a/crates/anvilhook-ctl/src/diffs.rs
+++ b/crates/anvilhook-ctl/src/diffs.rs
@@ -1,11 +1,11 @@
-//! What would change, line by line.
+//! Shows the changes of a spec as a line-based diff.
 
 use anvilhook_core::resources::{ResourceKey, Spec};
 use similar::TextDiff;
 
 use crate::exits::{Failure, Result};
 
-/// Shows the difference between what stands and what is wanted, as a patch of their YAML.
+/// Returns the difference between the current and the declared spec as a unified diff of their YAML.
 pub(crate) fn show(key: &ResourceKey, old: Option<&Spec>, new: Option<&Spec>) -> Result<String> {
     let old_text = old.map(to_yaml).transpose()?.unwrap_or_default();
     let new_text = new.map(to_yaml).transpose()?.unwrap_or_default();
@@ -15,7 +15,7 @@
     Ok(diff.unified_diff().header(&side(old), &side(new)).to_string())
 }
 
-/// Writes a spec as it stands in a file.
+/// Returns a spec as YAML, in the format of a file for `apply`.
 pub(crate) fn to_yaml(spec: &Spec) -> Result<String> {
     serde_saphyr::to_string(spec).map_err(Failure::output)
 }
--- a/crates/anvilhook-ctl/src/documents.rs
+++ b/crates/anvilhook-ctl/src/documents.rs
@@ -1,4 +1,4 @@
-//! Resources in YAML files.
+//! Reads resources from YAML files.
 
 use std::io::Read;
 
@@ -10,23 +10,23 @@
 
 use crate::exits::{Failure, Result};
 
-/// The name that stands for standard input.
+/// The file name that means standard input.
 const STANDARD_INPUT: &str = "-";
 
-/// `Declared` is one resource of a file.
+/// `Declared` is one resource from a file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Declared {
     /// The file and document, for messages.
     pub place: String,
     /// The resource.
     pub key: ResourceKey,
-    /// The version that it replaces, if the file says so.
+    /// The version that it replaces, if the file contains one.
     pub version: Option<Revision>,
     /// The spec.
     pub spec: Spec,
 }
 
-/// `Document` is a resource as it stands in a file. What `get -o json` shows is one, too.
+/// `Document` is a resource in the format of a file. The output of `get -o json` has the same format.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Document {
@@ -39,7 +39,7 @@
     _status: Option<Value>,
 }
 
-/// Reads the resources of all files, in an order in which each refers only to earlier ones.
+/// Reads the resources of all files, ordered so that each one refers only to earlier ones.
 pub(crate) fn read_all(files: &[String]) -> Result<Vec<Declared>> {
     if files.is_empty() {
         return Err(Failure::bad_input("no file: give -f FILE, or -f - for standard input"));
@@ -47,10 +47,10 @@
     let mut declared: Vec<Declared> = Vec::new();
     for file in files {
         for resource in parse(file, &read(file)?)? {
-            if let Some(twin) = declared.iter().find(|other| other.key == resource.key) {
+            if let Some(duplicate) = declared.iter().find(|other| other.key == resource.key) {
                 let message = format!(
-                    "{}: {} stands in {} already",
-                    resource.place, resource.key, twin.place
+                    "{}: {} is already declared in {}",
+                    resource.place, resource.key, duplicate.place
                 );
                 return Err(Failure::bad_input(message));
             }
--- a/crates/anvilhook-ctl/src/drains.rs
+++ b/crates/anvilhook-ctl/src/drains.rs
@@ -1,4 +1,4 @@
-//! Taking engines out of service.
+//! The `drain` subcommand: declares a plan that takes engines out of service.
 
 use std::io::Write;
 
@@ -29,7 +29,7 @@
     });
     let name = match &args.name {
         Some(name) => name.clone(),
-        None => made_up_name(cx)?,
+        None => generate_name(cx)?,
     };
     let key = ResourceKey { kind: Kind::DrainPlan, name };
     let answer = send(cx, &key, Operation::Put(&spec), Revision::default()).await?;
@@ -43,7 +43,7 @@
     }
 }
 
-fn made_up_name<W: Write>(cx: &mut Context<'_, W>) -> Result<ResourceName> {
+fn generate_name<W: Write>(cx: &mut Context<'_, W>) -> Result<ResourceName> {
     let name = ResourceName::try_new(&format!("drain-{:08x}", cx.rng.next_u32()));
     name.map_err(|err| Failure::bad_input(err.to_string()))
 }
--- a/crates/anvilhook-ctl/src/exits.rs
+++ b/crates/anvilhook-ctl/src/exits.rs
@@ -1,31 +1,31 @@
-//! How a command ends.
+//! Exit codes and failures of commands.
 
 use std::fmt;
 
 use anvilhook_api::{Code, Error, Refusal};
 use anvilhook_core::Verdict;
 
-/// A result with the command's failure.
+/// A result whose error is a command's failure.
 pub(crate) type Result<T> = std::result::Result<T, Failure>;
 
 /// `Exit` is the exit code of a command.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Exit {
-    /// What was asked for was done.
+    /// The command succeeded.
     Done = 0,
-    /// The arguments, a file or a field of it are wrong. Nothing was changed.
+    /// The arguments, a file or a field in a file are wrong. Nothing was changed.
     BadInput = 1,
-    /// The instance or the platform behind it cannot be asked now. Nothing was changed; try again.
+    /// The instance or its platform cannot be reached at the moment. Nothing was changed; try again.
     Unavailable = 2,
-    /// The token is missing, unknown or gives too few rights. Nothing was changed.
+    /// The token is missing, unknown or has insufficient rights. Nothing was changed.
     NotAllowed = 3,
-    /// There is no such thing.
+    /// The requested object does not exist.
     NotFound = 4,
-    /// Something else was changed meanwhile, or still needs the resource. Nothing was changed.
+    /// A concurrent change conflicts, or another resource still needs this one. Nothing was changed.
     Conflict = 5,
-    /// It is not known whether the change was accepted. Ask by its id with `anvilhook change`.
+    /// It is not known whether the change was accepted. Query its state with `anvilhook change`.
     Unknown = 6,
-    /// Anything else, such as an answer that cannot be read.
+    /// Any other failure, such as an answer that cannot be decoded.
     Failed = 7,
 }
 
@@ -36,34 +36,34 @@
     }
 }
 
-/// `Failure` is why a command did not do what was asked, and what to do.
+/// `Failure` describes why a command failed and what the operator can do.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub struct Failure {
     /// The exit code.
     pub exit: Exit,
-    /// Why, and what to do.
+    /// The cause and what to do.
     pub message: String,
 }
 
 impl Failure {
-    /// Makes a failure.
+    /// Creates a failure.
     pub fn new(exit: Exit, message: impl Into<String>) -> Self {
         Self { exit, message: message.into() }
     }
 
-    /// Makes the failure of wrong input.
+    /// Creates a failure for wrong input.
     pub fn bad_input(message: impl Into<String>) -> Self {
         Self::new(Exit::BadInput, message)
     }
 
-    /// Makes the failure of an output that cannot be written.
+    /// Creates a failure for output that cannot be written.
     pub(crate) fn output(err: impl fmt::Display) -> Self {
         Self::new(Exit::Failed, format!("cannot write the output: {err}"))
     }
 
-    /// Puts what was being done before the message.
-    pub fn while_doing(self, what: impl fmt::Display) -> Self {
-        Self { message: format!("{what}: {}", self.message), ..self }
+    /// Prefixes the message with the context of the failure.
+    pub fn with_context(self, context: impl fmt::Display) -> Self {
+        Self { message: format!("{context}: {}", self.message), ..self }
     }
 }
 
@@ -77,7 +77,7 @@
     fn from(err: Error) -> Self {
         let message = err.to_string();
         match err {
-            Error::Refused(refusal) => of_refusal(&refusal),
+            Error::Refused(refusal) => from_refusal(&refusal),
             Error::Call(call) if call.verdict() == Verdict::NotRun => Failure::new(
                 Exit::Unavailable,
                 format!("{message}. Check --server, or ask another instance"),
@@ -94,7 +94,7 @@
     }
 }
 
-fn of_refusal(refusal: &Refusal) -> Failure {
+fn from_refusal(refusal: &Refusal) -> Failure {
     let exit = match refusal.code {
         Code::BadRequest | Code::BadField | Code::VersionMissing | Code::TooLarge => Exit::BadInput,
         Code::TooManyWatchers | Code::NotAccepted | Code::Unavailable => Exit::Unavailable,
--- a/crates/anvilhook-ctl/src/explains.rs
+++ b/crates/anvilhook-ctl/src/explains.rs
@@ -1,4 +1,4 @@
-//! `explain`: the history of one request, from the logs of the instances.
+//! The `explain` subcommand: shows the history of one request from the instances' logs.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
@@ -10,11 +10,12 @@
 use crate::arguments::{ExplainArgs, Output};
 use crate::exits::{Exit, Failure, Result};
 
-/// The fields that stand at the front of a line of the history.
+/// The fields that are left out of a line's details. Those that matter are shown before the details.
 const HEAD_FIELDS: [&str; 5] = ["time_ms", "instance", "level", "event", "request"];
 
-/// The events that tell what an instance believes, by the name under which the newest is kept.
-const BELIEFS: [(&str, &str); 7] = [
+/// The events that record an instance's cached state, each with the name of that state. Only the
+/// newest event of each name, and of each dependency, is shown.
+const STATE_EVENTS: [(&str, &str); 7] = [
     ("config_adopted", "config"),
     ("fleet_changed", "list"),
     ("dependency_lost", "dependency"),
@@ -33,9 +34,9 @@
     fields: Map<String, Value>,
 }
 
-/// `Belief` is what an instance believed when the request came to its end there.
+/// `CachedState` is a part of an instance's cached state at the time when the request ended there.
 #[derive(Clone, Debug, Serialize)]
-struct Belief {
+struct CachedState {
     instance: String,
     belief: &'static str,
     event: String,
@@ -43,25 +44,25 @@
     fields: Map<String, Value>,
 }
 
-/// `RequestHistory` is all that the logs tell of a request.
+/// `RequestHistory` is the information about a request in the logs.
 #[derive(Clone, Debug, Serialize)]
 struct RequestHistory {
     request: String,
     lines: Vec<LogLine>,
-    beliefs: Vec<Belief>,
+    beliefs: Vec<CachedState>,
 }
 
 /// Runs the subcommand.
 pub(crate) fn run(args: &ExplainArgs, output: Output, out: &mut impl Write) -> Result<()> {
     let lines = read_all(&args.files)?;
-    let history = tell(&args.request, &lines);
+    let history = collect_history(&args.request, &lines);
     if history.lines.is_empty() {
         let message = format!("{}: no line of the logs names this request", args.request);
         return Err(Failure::new(Exit::NotFound, message));
     }
     let text = match output {
         Output::Json => serde_json::to_string_pretty(&history).map_err(Failure::output)?,
-        Output::Table => in_words(&history),
+        Output::Table => render(&history),
     };
     writeln!(out, "{text}").map_err(Failure::output)
 }
@@ -80,13 +81,14 @@
             .map_err(|err| Failure::new(Exit::BadInput, format!("{name}: {err}")))?;
         read_from(file, &mut lines);
     }
-    // Instances' clocks differ a little; lines of one instance keep their order.
+    // The clocks of instances differ slightly, so the order across instances is approximate. The
+    // sort is stable and retains the order of lines with the same time.
     lines.sort_by_key(|line| line.time_ms);
     Ok(lines)
 }
 
-/// Reads the lines that are events. Whoever collects logs may put something before each line, and
-/// other programs' lines may stand between them.
+/// Reads the lines that are events. Log collectors may add a prefix to each line, and lines of other
+/// programs may be mixed in.
 fn read_from(source: impl Read, lines: &mut Vec<LogLine>) {
     for text in BufReader::new(source).split(b'\n') {
         let Ok(text) = text else { return };
@@ -97,35 +99,39 @@
 
 fn parse(text: &str) -> Option<LogLine> {
     let fields: Map<String, Value> = serde_json::from_str(text).ok()?;
-    let word = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_owned);
+    let text_field = |name: &str| fields.get(name).and_then(Value::as_str).map(str::to_owned);
     Some(LogLine {
         time_ms: fields.get("time_ms")?.as_u64()?,
-        instance: word("instance")?,
-        event: word("event")?,
+        instance: text_field("instance")?,
+        event: text_field("event")?,
         fields,
     })
 }
 
-fn tell(request: &str, lines: &[LogLine]) -> RequestHistory {
+fn collect_history(request: &str, lines: &[LogLine]) -> RequestHistory {
     let own: Vec<LogLine> =
-        lines.iter().filter(|line| names(line, "request", request)).cloned().collect();
+        lines.iter().filter(|line| has_field(line, "request", request)).cloned().collect();
     let upstreams: BTreeSet<&str> =
         own.iter().filter_map(|line| line.fields.get("upstream")?.as_str()).collect();
     let beliefs = own
         .iter()
         .filter(|line| line.event == "concluded")
-        .flat_map(|end| beliefs_at(lines, end, &upstreams))
+        .flat_map(|end| cached_state_at(lines, end, &upstreams))
         .collect();
     RequestHistory { request: request.to_owned(), lines: own, beliefs }
 }
 
-fn names(line: &LogLine, field: &str, value: &str) -> bool {
+fn has_field(line: &LogLine, field: &str, value: &str) -> bool {
     line.fields.get(field).and_then(Value::as_str) == Some(value)
 }
 
-/// Returns the newest line of each belief before the request's end at an instance, and what the
-/// logs say of its upstreams.
-fn beliefs_at(lines: &[LogLine], end: &LogLine, upstreams: &BTreeSet<&str>) -> Vec<Belief> {
+/// Returns the cached state of an instance when the request ended there: the newest line of each
+/// name in `STATE_EVENTS`, and the newest line about each of the request's upstreams.
+fn cached_state_at(
+    lines: &[LogLine],
+    end: &LogLine,
+    upstreams: &BTreeSet<&str>,
+) -> Vec<CachedState> {
     let mut newest: BTreeMap<(&'static str, String), &LogLine> = BTreeMap::new();
     for line in lines.iter().take_while(|line| line.time_ms <= end.time_ms) {
         let of_upstream = line.fields.get("upstream").and_then(Value::as_str);
@@ -135,23 +141,23 @@
             let upstream = of_upstream.unwrap_or_default().to_owned();
             newest.insert(("upstream", upstream), line);
         } else if line.instance == end.instance
-            && let Some((_, belief)) = BELIEFS.iter().find(|(event, _)| *event == line.event)
+            && let Some((_, name)) = STATE_EVENTS.iter().find(|(event, _)| *event == line.event)
         {
             let of = line.fields.get("dependency").and_then(Value::as_str).unwrap_or_default();
-            newest.insert((belief, of.to_owned()), line);
+            newest.insert((name, of.to_owned()), line);
         }
     }
-    let belief = |((belief, _), line): ((&'static str, String), &LogLine)| Belief {
+    let to_state = |((belief, _), line): ((&'static str, String), &LogLine)| CachedState {
         instance: line.instance.clone(),
         belief,
         event: line.event.clone(),
         age_ms: end.time_ms - line.time_ms,
         fields: line.fields.clone(),
     };
-    newest.into_iter().map(belief).collect()
+    newest.into_iter().map(to_state).collect()
 }
 
-fn in_words(history: &RequestHistory) -> String {
+fn render(history: &RequestHistory) -> String {
     let mut text = format!("request {}\n", history.request);
     let start = history.lines.first().map_or(0, |line| line.time_ms);
     for line in &history.lines {
@@ -162,23 +168,23 @@
     if !history.beliefs.is_empty() {
         text.push_str("believed at its end:\n");
     }
-    for belief in &history.beliefs {
-        let rest = details(&belief.fields);
-        let age = belief.age_ms;
-        let (name, event) = (belief.belief, &belief.event);
-        let _ = writeln!(text, "  {name}  {age} ms old  {}  {event}  {rest}", belief.instance);
+    for state in &history.beliefs {
+        let rest = details(&state.fields);
+        let age = state.age_ms;
+        let (name, event) = (state.belief, &state.event);
+        let _ = writeln!(text, "  {name}  {age} ms old  {}  {event}  {rest}", state.instance);
     }
     text.pop();
     text
 }
 
 fn details(fields: &Map<String, Value>) -> String {
-    let told = fields.iter().filter(|(name, value)| {
+    let shown = fields.iter().filter(|(name, value)| {
         !HEAD_FIELDS.contains(&name.as_str()) && !value.is_null() && **value != ""
     });
-    let words = told.map(|(name, value)| match value {
+    let pairs = shown.map(|(name, value)| match value {
         Value::String(text) => format!("{name}={text}"),
         other => format!("{name}={other}"),
     });
-    words.collect::<Vec<_>>().join(" ")
+    pairs.collect::<Vec<_>>().join(" ")
 }
--- a/crates/anvilhook-ctl/src/gets.rs
+++ b/crates/anvilhook-ctl/src/gets.rs
@@ -1,4 +1,4 @@
-//! Showing resources.
+//! The `get` subcommand: shows resources.
 
 use std::io::Write;
 
@@ -9,7 +9,7 @@
 use crate::exits::{Failure, Result};
 use crate::tables::{render, row};
 
-/// Shows all resources, those of a kind, or one.
+/// Shows all resources, the resources of a kind, or one resource.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>, args: &GetArgs) -> Result<()> {
     match &args.target {
         None => {
@@ -30,7 +30,7 @@
                 None => Ok(()),
             }
         }
-        Some(Target::Key(key)) => one(cx, key).await,
+        Some(Target::Key(key)) => show_one(cx, key).await,
     }
 }
 
@@ -46,7 +46,7 @@
     cx.line(render(&rows))
 }
 
-/// Shows the conditions that hold, and the reasons of those that do not.
+/// Returns a text with the conditions that hold, and the reasons for those that do not.
 fn conditions(resource: &Resource) -> String {
     let shown = resource.status.iter().map(|condition| match condition.state {
         ConditionState::True => condition.kind.clone(),
@@ -56,8 +56,8 @@
     shown.collect::<Vec<_>>().join(", ")
 }
 
-/// Shows one resource in the form in which it can be applied again.
-async fn one<W: Write>(cx: &mut Context<'_, W>, key: &ResourceKey) -> Result<()> {
+/// Shows one resource in a format that can be applied again.
+async fn show_one<W: Write>(cx: &mut Context<'_, W>, key: &ResourceKey) -> Result<()> {
     let resource = cx.client.get(key).await?;
     if cx.output == Output::Json {
         return cx.json(&resource);
--- a/crates/anvilhook-ctl/src/lib.rs
+++ b/crates/anvilhook-ctl/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operators' command line, as a library that its tests run in-process.
+//! The operators' command line, as a library so that tests can run it in-process.
 //!
-//! Each subcommand is a module. All of them write to a given output, so that what an operator sees
-//! can be tested, and all failures end in one of the documented exit codes.
+//! Each subcommand is a module. All of them write to a given output, so that tests can check the
+//! output, and each failure maps to one of the documented exit codes.
 #![forbid(unsafe_code)]
 
 mod applies;
@@ -33,10 +33,10 @@
 
 use exits::Result;
 
-/// Runs one command line and returns how it ended.
+/// Runs one command line and returns its exit code.
 ///
-/// `args` are the arguments without the program's name. What was asked for goes to `out`, what went
-/// wrong to `err`.
+/// `args` are the arguments without the program's name. The command's output goes to `out`, error
+/// messages go to `err`.
 pub async fn run(
     args: &[&str],
     environment: &Environment,
@@ -50,7 +50,7 @@
             return end(out.write_all(early.text.as_bytes()));
         }
         Err(early) => {
-            // Nothing more can be done about an output that is gone.
+            // If the error output cannot be written, there is no other way to report the error.
             let _ = err.write_all(early.text.as_bytes());
             return Exit::BadInput;
         }
@@ -90,12 +90,12 @@
         Command::Why(args) => whys::run(&mut cx, &args).await,
         Command::Audit(args) => audits::run(&mut cx, &args).await,
         Command::Status(_) => statuses::run(&mut cx).await,
-        // It was run before a server was looked for.
+        // `explain` needs no server and was handled above.
         Command::Explain(_) => Ok(()),
     }
 }
 
-/// `Context` is what every subcommand works with.
+/// `Context` holds the client, the output and the random generator for a subcommand.
 struct Context<'a, W> {
     client: ApiClient,
     output: Output,
@@ -115,7 +115,7 @@
         self.line(text)
     }
 
-    /// Writes an answer as one line of JSON, for answers without an end.
+    /// Writes a value as one line of JSON, for output that consists of a stream of values.
     fn json_line<T: serde::Serialize>(&mut self, value: &T) -> Result<()> {
         let text = serde_json::to_string(value).map_err(Failure::output)?;
         self.line(text)
--- a/crates/anvilhook-ctl/src/statuses.rs
+++ b/crates/anvilhook-ctl/src/statuses.rs
@@ -1,4 +1,4 @@
-//! Instances, revisions and lease holders.
+//! The `status` subcommand: shows instances, their revisions and lease holders.
 
 use std::io::Write;
 
@@ -9,7 +9,7 @@
 use crate::tables::{render, row};
 use crate::{Context, times};
 
-/// Shows the state of the system as the instance sees it.
+/// Shows the state of the system in the view of the called instance.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>) -> Result<()> {
     let status = cx.client.status().await?;
     if cx.output == Output::Json {
--- a/crates/anvilhook-ctl/src/tables.rs
+++ b/crates/anvilhook-ctl/src/tables.rs
@@ -1,6 +1,6 @@
-//! Tables for people.
+//! Renders tables as text.
 
-/// Lays rows out in columns. The first row is the head.
+/// Renders rows in aligned columns. The first row contains the headings.
 pub(crate) fn render<const N: usize>(rows: &[[String; N]]) -> String {
     let mut widths = [0; N];
     for row in rows {
@@ -15,7 +15,7 @@
     lines.collect::<Vec<_>>().join("\n")
 }
 
-/// Makes a row's cells of texts.
+/// Creates a row from its cells.
 pub(crate) fn row<const N: usize>(cells: [&str; N]) -> [String; N] {
     cells.map(str::to_owned)
 }
--- a/crates/anvilhook-ctl/src/watches.rs
+++ b/crates/anvilhook-ctl/src/watches.rs
@@ -1,4 +1,4 @@
-//! Watching changes.
+//! The `watch` subcommand: shows changes as they are accepted.
 
 use std::io::Write;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 use crate::arguments::{Output, WatchArgs};
 use crate::exits::{Failure, Result};
 
-/// The pause before a watch that ended begins again.
+/// The pause before a watch that has ended is started again.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Shows changes until it has shown as many as asked for, beginning again where the last watch
-/// ended.
+/// Shows changes until the requested number has been shown. A watch that ends is started again from
+/// the last revision.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>, args: &WatchArgs) -> Result<()> {
     let from = match args.from {
         Some(from) => Revision(from),
@@ -29,8 +29,11 @@
                 has_watched = true;
                 follow(cx, watch, &mut progress).await?;
             }
-            Err(err) if err.code() == Some(Code::TooOld) => start_anew(cx, &mut progress).await?,
-            // The first try shows whether the arguments are right; later ones outlast a restart.
+            Err(err) if err.code() == Some(Code::TooOld) => {
+                skip_archived(cx, &mut progress).await?
+            }
+            // A failure of the first watch may be caused by wrong arguments and ends the command.
+            // Later failures are retried, so that the command survives a restart of the instance.
             Err(err) if !has_watched || err.code() == Some(Code::Unauthenticated) => {
                 return Err(Failure::from(err));
             }
@@ -43,7 +46,7 @@
     Ok(())
 }
 
-/// `Progress` is how far a watch has come.
+/// `Progress` is the state of the watch between connections.
 struct Progress {
     kind: Option<Kind>,
     from: Revision,
@@ -57,20 +60,20 @@
 ) -> Result<()> {
     while progress.left != Some(0) {
         match watch.next().await {
-            Ok(Some(WatchEvent::TooOld { .. })) => return start_anew(cx, progress).await,
+            Ok(Some(WatchEvent::TooOld { .. })) => return skip_archived(cx, progress).await,
             Ok(Some(event)) => {
                 progress.from = progress.from.max(event.revision());
                 show(cx, &event, progress)?;
             }
-            // The instance stopped or the connection broke; the next watch goes on from here.
+            // The instance stopped or the connection failed; the next watch continues from here.
             Ok(None) | Err(_) => return Ok(()),
         }
     }
     Ok(())
 }
 
-/// Skips the changes that are archived, and says so.
-async fn start_anew<W: Write>(cx: &mut Context<'_, W>, progress: &mut Progress) -> Result<()> {
+/// Skips the archived changes and prints a note about it.
+async fn skip_archived<W: Write>(cx: &mut Context<'_, W>, progress: &mut Progress) -> Result<()> {
     let now = cx.client.configuration().await?.revision;
     let from = progress.from;
     progress.from = now;
--- a/crates/anvilhook-ctl/src/whys.rs
+++ b/crates/anvilhook-ctl/src/whys.rs
@@ -1,4 +1,4 @@
-//! What a resource waits for, on one screen.
+//! The `why` subcommand: shows the conditions that a resource is waiting for.
 
 use std::io::Write;
 
@@ -10,7 +10,8 @@
 use crate::exits::Result;
 use crate::{Context, times};
 
-/// Shows what is wanted of a resource, what is, and what it waits for and since when.
+/// Shows a resource's declared and observed state, the conditions that it is waiting for, and since
+/// when.
 pub(crate) async fn run<W: Write>(cx: &mut Context<'_, W>, args: &WhyArgs) -> Result<()> {
     let why = cx.client.why(&args.key).await?;
     if cx.output == Output::Json {
@@ -42,13 +43,13 @@
         return cx.line("observed: nothing yet");
     }
     cx.line("observed:")?;
-    for seen in observed {
-        let state = match seen.condition.state {
+    for observation in observed {
+        let state = match observation.condition.state {
             ConditionState::True => "holds",
             ConditionState::False => "does not hold",
             ConditionState::Unknown => "is not known",
         };
-        let Condition { kind, since, message, .. } = &seen.condition;
+        let Condition { kind, since, message, .. } = &observation.condition;
         cx.line(format!("  {kind} {state} since {}: {message}", times::show(*since)))?;
     }
     Ok(())
@@ -62,10 +63,10 @@
         return cx.line("waits for: nothing");
     }
     cx.line("waits for:")?;
-    for seen in &why.waiting {
-        let (condition, since) = (&seen.condition, times::show(seen.condition.since));
+    for observation in &why.waiting {
+        let (condition, since) = (&observation.condition, times::show(observation.condition.since));
         cx.line(format!("  {}: {}", condition.reason, condition.message))?;
-        cx.line(format!("    since {since}, seen by {}", seen.observer))?;
+        cx.line(format!("    since {since}, seen by {}", observation.observer))?;
     }
     for name in &why.lagging {
         cx.line(format!("  instance {name}, which has not reported this version in force yet"))?;
--- a/crates/anvilhook-ctl/tests/commands.rs
+++ b/crates/anvilhook-ctl/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The command line against an API on a loopback socket.
+//! Tests the command line against an API on a loopback socket.
 
 // The daemon's tests start the same API.
 #[path = "../../anvilhook-daemon/tests/operators_fixture/mod.rs"]
@@ -19,7 +19,7 @@
 use rand_chacha::ChaCha8Rng;
 
 const SITE: &str = "\
-# What refers to another resource may stand before it.
+# A resource may be listed before another one that it refers to.
 kind: Engine
 name: e1
 spec: {pool: main, address: \"127.0.0.1:7001\", zone: piraeus}
@@ -38,7 +38,7 @@
   kv_bytes_per_token: 10
 ";
 
-/// Writes a file that this test alone uses.
+/// Writes a file. Each test uses its own names.
 fn file(name: &str, text: &str) -> String {
     let path = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, text).unwrap();
@@ -47,12 +47,12 @@
 
 /// Runs a command line and returns its exit code, output and errors.
 async fn ctl_as(api: &Api, token: Option<&str>, line: &[&str]) -> (Exit, String, String) {
-    // Each run draws other change ids.
+    // Each run has its own seed, so that all change ids differ.
     static RUNS: AtomicU64 = AtomicU64::new(1_000);
     ctl_seeded(api, token, RUNS.fetch_add(1, Ordering::SeqCst), line).await
 }
 
-/// As `ctl_as`; two runs of one seed draw the same change ids.
+/// Like `ctl_as`, but with a given seed. Two runs with the same seed use the same change ids.
 async fn ctl_seeded(
     api: &Api,
     token: Option<&str>,
@@ -71,7 +71,7 @@
     ctl_as(api, Some(OPERATOR), line).await
 }
 
-/// Runs a command line that has to succeed.
+/// Runs a command line that must succeed, and returns its output.
 async fn done(api: &Api, line: &[&str]) -> String {
     let (exit, out, err) = ctl(api, line).await;
     assert_eq!(exit, Exit::Done, "{line:?}: {out}{err}");
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test]
-async fn verify_the_way_of_a_new_user() {
+async fn verify_the_typical_workflow() {
     let api = Api::start().await;
     let site = file("site.yaml", SITE);
     let more = file("more.yaml", &SITE.replace("weight_bytes: 1000", "weight_bytes: 2000"));
@@ -104,7 +104,7 @@
     let listed = done(&api, &["get"]).await;
     assert!(listed.starts_with("RESOURCE"), "{listed}");
     assert!(listed.contains("Engine/e1                 3"), "{listed}");
-    // What is shown can be applied, as YAML and as JSON.
+    // The output of `get` can be applied again, as YAML and as JSON.
     for output in ["table", "json"] {
         let shown = done(&api, &["get", "engine/e1", "-o", output]).await;
         let shown = file(&format!("shown-{output}.yaml"), &shown);
@@ -133,7 +133,8 @@
     );
 }
 
-/// Token | command line | exit | a part of what is said. `@name` stands for a file of that name.
+/// Token | command line | exit | a part of the error message. `@name` is replaced by the path of the
+/// file with that name.
 const FAILURES: &str = "
 operator-token | fetch | BadInput | fetch
 operator-token | get Colour | BadInput | kind: expected one of Account
@@ -144,7 +145,7 @@
 operator-token | apply -f @field | BadInput | document 1, Account/cook: spec.requests_per_s: expected at least 1
 operator-token | apply -f @yaml | BadInput | yaml:
 operator-token | apply -f @kind | BadInput | kind:2:
-operator-token | apply -f @twice | BadInput | document 4: Engine/e1 stands in
+operator-token | apply -f @twice | BadInput | document 4: Engine/e1 is already declared in
 operator-token | apply -f @strands | BadInput | needed by EnginePool/main (spec.model); change that first. Nothing was sent
 operator-token | apply -f @old | Conflict | Engine/e1 stands at version 3
 operator-token | drain main | BadInput | give --engine or --zone
@@ -163,7 +164,7 @@
  | get | NotAllowed | Set ANVILHOOK_TOKEN, or give --token-file
 ";
 
-/// Writes the files that the table names.
+/// Writes the files that are used in `FAILURES`.
 fn write_bad_files() {
     let account = "token_sha256: [], requests_per_s: 0, open_requests: 1";
     file("field", &format!("kind: Account\nname: cook\nspec: {{{account}}}\n"));
@@ -176,7 +177,7 @@
 }
 
 #[tokio::test]
-async fn verify_failures_say_what_to_do() {
+async fn verify_exit_codes_and_messages_of_failures() {
     let api = Api::start().await;
     done(&api, &["apply", "-f", &file("base.yaml", SITE)]).await;
     write_bad_files();
@@ -196,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn verify_help_is_no_failure() {
+async fn verify_help_is_not_a_failure() {
     let api = Api::start().await;
     for line in [vec!["--help"], vec!["apply", "--help"]] {
         let (exit, out, err) = ctl(&api, &line).await;
@@ -206,9 +207,9 @@
     }
 }
 
-/// Symptom: a script repeats a change that was made, or gives up one that was not.
-/// Sequence: the table loses an answer and goes down, for a moment or for good.
-/// Cause: the exit code says done or failed where neither is known.
+/// Guards against an exit code that reports success or failure when neither is known: a script would
+/// repeat a change that was accepted, or abandon one that was not. This happens when the table loses
+/// an answer and becomes unavailable, temporarily or permanently.
 #[tokio::test]
 async fn verify_outages_end_in_their_own_exit_codes() {
     let api = Api::start().await;
@@ -221,7 +222,8 @@
     assert_eq!(exit, Exit::Unavailable, "{err}");
     assert!(err.contains("not accepted"), "{err}");
 
-    // One try of the change reaches the table and its answer is lost; then the table is down.
+    // One try of the change reaches the table and its answer is lost. After that the table is
+    // unavailable.
     faults.heal();
     faults.lose_next_writes(1, Loss::BeforeEffect);
     faults.set_rate_limits(Some(RateLimits { reads_per_s: 2, writes_per_s: 100 }));
@@ -233,7 +235,7 @@
     let ask: Vec<&str> = ask.split(' ').collect();
     let (exit, _, err) = ctl(&api, &ask).await;
     assert_eq!(exit, Exit::Unknown, "{ask:?}: {err}");
-    // Sent again with its id, the change is made and can be asked for.
+    // Resent with the same id, the change is accepted and its state can be queried.
     let (_, out, _) = ctl_seeded(&api, Some(OPERATOR), 7, &line).await;
     assert!(out.starts_with("DrainPlan/night created at r4"), "{out}");
     assert_eq!(done(&api, &ask).await, "accepted as r4\n");
@@ -288,7 +290,7 @@
 }
 
 #[tokio::test]
-async fn verify_a_watch_of_archived_changes_goes_on_from_now() {
+async fn verify_a_watch_of_archived_changes_continues_from_the_current_revision() {
     let api = Api::start().await;
     for n in 0..8 {
         api.declare(&format!("a{n}"), 1, 0).await;
@@ -298,7 +300,7 @@
     other.follower.poll_once().await.unwrap();
     let line = ["watch", "--from", "1", "--count", "1"];
 
-    // The watch begins at the revision that it finds, so changes are made until it has seen one.
+    // The watch starts at the current revision, so changes are made until it has seen one.
     let changes = async {
         for n in 8_u64.. {
             other.declare(&format!("a{n}"), 1, 0).await;
@@ -307,7 +309,7 @@
     };
     let watched = tokio::select! {
         watched = done(&other, &line) => watched,
-        () = changes => unreachable!("they go on until the watch ends"),
+        () = changes => unreachable!("changes are made until the watch ends"),
     };
 
     assert!(
--- a/crates/anvilhook-ctl/tests/explains.rs
+++ b/crates/anvilhook-ctl/tests/explains.rs
@@ -1,4 +1,4 @@
-//! The story of a request from logs.
+//! Tests `explain`: the history of a request from logs.
 
 use anvilhook_ctl::{Environment, Exit, run};
 use rand::SeedableRng;
@@ -17,7 +17,7 @@
 {\"time_ms\":270,\"instance\":\"a\",\"level\":\"info\",\"event\":\"config_adopted\",\"version\":9,\"before\":7}
 ";
 
-/// Runs the command on a log file of this test's own.
+/// Runs the command on a log file with the given name. Each test uses its own name.
 async fn explain(name: &str, rest: &[&str]) -> (Exit, String, String) {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, LOG).expect("a temporary file");
@@ -32,8 +32,8 @@
 }
 
 #[tokio::test]
-async fn verify_the_story_is_told_in_order_with_the_beliefs_of_that_moment() {
-    let (exit, out, _) = explain("story.log", &["r1"]).await;
+async fn verify_the_history_is_ordered_and_includes_the_cached_state_at_its_end() {
+    let (exit, out, _) = explain("history.log", &["r1"]).await;
 
     assert_eq!(exit, Exit::Done);
     let expected = "\
@@ -49,19 +49,19 @@
 }
 
 #[tokio::test]
-async fn verify_the_story_as_json() {
+async fn verify_the_history_as_json() {
     for flags in [&["r1", "--json"][..], &["r1", "-o", "json"][..]] {
-        let (exit, out, _) = explain("story-json.log", flags).await;
+        let (exit, out, _) = explain("history-json.log", flags).await;
 
         assert_eq!(exit, Exit::Done);
-        let story: serde_json::Value = serde_json::from_str(&out).expect("JSON");
-        assert_eq!(story["lines"].as_array().map(Vec::len), Some(3));
-        assert_eq!(story["beliefs"][0]["age_ms"], 110);
+        let history: serde_json::Value = serde_json::from_str(&out).expect("JSON");
+        assert_eq!(history["lines"].as_array().map(Vec::len), Some(3));
+        assert_eq!(history["beliefs"][0]["age_ms"], 110);
     }
 }
 
 #[tokio::test]
-async fn verify_an_unknown_request_and_a_missing_file_are_told() {
+async fn verify_an_unknown_request_and_a_missing_file_are_reported() {
     let (exit, out, err) = explain("unknown.log", &["r9"]).await;
     assert_eq!((exit, out.as_str()), (Exit::NotFound, ""));
     assert!(err.contains("r9"), "{err}");
