--- a/crates/anvilhook-engine/src/errors.rs
+++ b/crates/anvilhook-engine/src/errors.rs
@@ -58,7 +58,7 @@
                 write!(f, "refused with status {status}: {message}")
             }
             Error::InvalidAnswer { message } => {
-                write!(f, "invalid answer to this attempt: {message}")
+                write!(f, "not an answer to this attempt: {message}")
             }
             Error::TooLarge { max_bytes } => write!(f, "answer larger than {max_bytes} bytes"),
         }
--- a/crates/anvilhook-engine/src/http_control.rs
+++ b/crates/anvilhook-engine/src/http_control.rs
@@ -179,5 +179,5 @@
 
 fn decode<T: DeserializeOwned>(body: &[u8]) -> Result<T> {
     serde_json::from_slice(body)
-        .map_err(|err| Error::invalid_answer(format!("its body cannot be decoded: {err}")))
+        .map_err(|err| Error::invalid_answer(format!("it cannot be read: {err}")))
 }
--- a/crates/anvilhook-engine/src/requests.rs
+++ b/crates/anvilhook-engine/src/requests.rs
@@ -240,7 +240,7 @@
         if answer.status() == StatusCode::NOT_FOUND {
             return Err(Error::Refused {
                 status: StatusCode::NOT_FOUND.as_u16(),
-                message: "the engine does not know this stream".to_owned(),
+                message: "the stream is not known here".to_owned(),
             });
         }
         EventStream::try_new(answer, attempt, after, bounds.max_answer_bytes)
@@ -253,11 +253,9 @@
         match answer.status() {
             StatusCode::NO_CONTENT => Ok(()),
             StatusCode::NOT_FOUND => {
-                Err(Error::invalid_answer("the other engine has no KV cache of this attempt"))
-            }
-            status => {
-                Err(Error::invalid_answer(format!("unexpected status {status} of a KV cache pull")))
+                Err(Error::invalid_answer("the other engine has no KV cache of it"))
             }
+            status => Err(Error::invalid_answer(format!("status {status} to a pull"))),
         }
     }
 
@@ -285,13 +283,13 @@
 
 pub(crate) fn check_echo(answer: &Response, attempt: AttemptId) -> Result<()> {
     let Some(echo) = answer.headers().get(ATTEMPT_HEADER) else {
-        return Err(Error::invalid_answer("it does not echo an attempt id"));
+        return Err(Error::invalid_answer("it echoes no attempt"));
     };
     let echoed = echo.to_str().ok().and_then(|text| text.parse::<AttemptId>().ok());
     if echoed == Some(attempt) {
         Ok(())
     } else {
-        Err(Error::invalid_answer("it echoes the id of another attempt"))
+        Err(Error::invalid_answer("it echoes another attempt"))
     }
 }
 
@@ -322,7 +320,7 @@
         }
         Some(_) => {}
         None if matches!(parts.status, StatusCode::NO_CONTENT | StatusCode::NOT_MODIFIED) => {}
-        None => return Err(Error::invalid_answer("it has no content-length")),
+        None => return Err(Error::invalid_answer("it announces no length")),
     }
     let body = collect_body(body, bounds.max_answer_bytes, bounds.whole).await?;
     Ok(WholeAnswer { status: parts.status, headers: parts.headers, body })
--- a/crates/anvilhook-engine/src/streams.rs
+++ b/crates/anvilhook-engine/src/streams.rs
@@ -70,9 +70,7 @@
         // body that is ended by closing the connection, truncation would then forward half an event.
         let headers = answer.headers();
         if !headers.contains_key(TRANSFER_ENCODING) && !headers.contains_key(CONTENT_LENGTH) {
-            return Err(Error::invalid_answer(
-                "its body has neither a transfer-encoding nor a content-length",
-            ));
+            return Err(Error::invalid_answer("the end of its stream is not marked"));
         }
         let limited = answer.map(|body| Limited::new(body, max_bytes));
         let reader = SseReader::into_sse(limited).map_err(Error::invalid_answer)?;
@@ -82,7 +80,7 @@
     async fn read(&mut self, timeout: Millis) -> Result<SseEvent> {
         match tokio::time::timeout(timeout.as_duration(), self.reader.read()).await {
             Ok(Ok(Some(event))) => Ok(event),
-            Ok(Ok(None)) => Err(Error::invalid_answer("its stream ended without a closing event")),
+            Ok(Ok(None)) => Err(Error::invalid_answer("its stream ends without a closing event")),
             Ok(Err(err)) if err.is::<LengthLimitError>() => {
                 Err(Error::TooLarge { max_bytes: self.max_bytes })
             }
@@ -102,7 +100,7 @@
             }
             let number = event.id.and_then(|id| id.parse::<u64>().ok());
             let Some(number) = number else {
-                return Err(Error::invalid_answer("an event has no valid id"));
+                return Err(Error::invalid_answer("an event has no number"));
             };
 
             // Skips an event that was already read.
--- a/crates/anvilhook-engine/src/wire.rs
+++ b/crates/anvilhook-engine/src/wire.rs
@@ -1,4 +1,4 @@
-//! Defines the HTTP protocol between the binding or the stand-ins and upstreams.
+//! Defines the HTTP protocol of upstreams, as used by the binding and the stand-ins.
 //!
 //! For requests to model engines and to plain services:
 //!
--- a/crates/anvilhook-http/src/answers.rs
+++ b/crates/anvilhook-http/src/answers.rs
@@ -9,9 +9,7 @@
 pub fn json<T: Serialize>(status: StatusCode, value: &T) -> Response<Body> {
     match serde_json::to_vec(value) {
         Ok(buf) => with_type(status, "application/json", buf),
-        Err(err) => {
-            text(StatusCode::INTERNAL_SERVER_ERROR, format!("cannot encode the answer: {err}"))
-        }
+        Err(err) => text(StatusCode::INTERNAL_SERVER_ERROR, format!("cannot encode answer: {err}")),
     }
 }
 
--- a/crates/anvilhook-http/src/heads.rs
+++ b/crates/anvilhook-http/src/heads.rs
@@ -38,13 +38,13 @@
         // If this were forwarded, the connection could become a tunnel while the server expects an
         // answer on it.
         if req.method() == Method::CONNECT {
-            return Ok(refusal(StatusCode::METHOD_NOT_ALLOWED, "CONNECT is not supported"));
+            return Ok(refusal(StatusCode::METHOD_NOT_ALLOWED, "no tunnels"));
         }
         if req.headers().get_all(HOST).iter().nth(1).is_some() {
-            return Ok(refusal(StatusCode::BAD_REQUEST, "more than one host header"));
+            return Ok(refusal(StatusCode::BAD_REQUEST, "more than one host"));
         }
         if req.uri().scheme().is_some() && !take_host_from_target(&mut req) {
-            return Ok(refusal(StatusCode::BAD_REQUEST, "invalid request target"));
+            return Ok(refusal(StatusCode::BAD_REQUEST, "bad target"));
         }
         self.inner.call(cx, req).await
     }
--- a/crates/anvilhook-http/src/pauses.rs
+++ b/crates/anvilhook-http/src/pauses.rs
@@ -16,11 +16,7 @@
 
 impl fmt::Display for InvalidRetryAfter {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            f,
-            "retry-after: expected seconds, or an HTTP date together with a date header: {:?}",
-            self.0
-        )
+        write!(f, "retry-after: neither seconds nor an HTTP date beside a date: {:?}", self.0)
     }
 }
 
