--- a/crates/anvilhook-daemon/src/proxy/splits.rs
+++ b/crates/anvilhook-daemon/src/proxy/splits.rs
@@ -71,7 +71,7 @@
         if let Err(err) = self.upstreams.pull_kv(&pull).await {
             // An engine that reports why it could not fetch the cache is healthy itself, so the
             // failure counts against the prefill engine.
-            let is_answer = matches!(err, Error::NotAnAnswer { .. });
+            let is_answer = matches!(err, Error::InvalidAnswer { .. });
             return (if is_answer { prefill } else { decode }, Err(err));
         }
         prefill.ended();
