--- a/crates/anvilhook-daemon/tests/command_lines.rs
+++ b/crates/anvilhook-daemon/tests/command_lines.rs
@@ -1,4 +1,4 @@
-//! The daemon's command line, with the real binary.
+//! The command line of the daemon, tested with the real binary.
 
 use std::path::Path;
 use std::process::{Command, Output};
@@ -37,7 +37,7 @@
             let output = anvilhookd(&args);
 
             assert_eq!(output.status.code(), Some(2), "{args:?}");
-            assert!(output.stdout.is_empty(), "nothing was started or announced");
+            assert!(output.stdout.is_empty(), "no instance started or announced itself");
             let stderr = String::from_utf8_lossy(&output.stderr);
             assert_eq!(stderr, format!("anvilhookd: {file}{expected}"));
         }
--- a/crates/anvilhook-daemon/tests/end_to_end.rs
+++ b/crates/anvilhook-daemon/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The whole path with a real daemon process: callers, one instance, stand-ins, on real sockets.
+//! The whole request path on real sockets: callers, one daemon process and the stand-ins.
 
 #[allow(dead_code, reason = "each test file uses a part of the fixtures")]
 mod processes;
@@ -10,7 +10,7 @@
 use anvilhook_standin::engines::{EngineOptions, expected_output};
 use anvilhook_standin::plain::{PlainAnswer, body_digest};
 use http::StatusCode;
-use processes::{DaemonProcess, LOOK_AGAIN};
+use processes::{DaemonProcess, POLL_INTERVAL};
 
 fn chat(prompt: &str, max_tokens: u64, stream: bool) -> ChatCall {
     let deadline = Millis::from_secs(20);
@@ -62,9 +62,9 @@
     assert_eq!(site.ledger.runs_of_body(call.body.as_bytes()), 1);
 }
 
-/// Symptom: an answer ends in its middle whenever an instance is replaced.
-/// Sequence: a long stream is open, the process gets SIGTERM, the stream goes on.
-/// Cause: the HTTP library gives open connections some 30 s after a signal, and closes the listener.
+/// Guards against an answer that is truncated whenever an instance is replaced: a long stream is open
+/// when the process receives SIGTERM. The HTTP library closes the listener on a signal and ends open
+/// connections after about 30 s.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_sigterm_cuts_no_stream() {
     let slow = EngineOptions { decode_step_ms: 20.0, ..EngineOptions::default() };
@@ -79,7 +79,7 @@
         tokio::spawn(async move { caller.chat(callers, &long).await })
     };
     while site.engines[0].open_attempts().is_empty() {
-        tokio::time::sleep(LOOK_AGAIN.as_duration()).await;
+        tokio::time::sleep(POLL_INTERVAL.as_duration()).await;
     }
 
     daemon.terminate();
--- a/crates/anvilhook-daemon/tests/front_drains.rs
+++ b/crates/anvilhook-daemon/tests/front_drains.rs
@@ -1,4 +1,4 @@
-//! A drain that finds nothing in flight at an upstream can rely on it.
+//! Tests that a drain can rely on a count of zero requests in flight at an upstream.
 
 #[allow(dead_code, reason = "each test file uses a part of the fixtures")]
 mod support;
@@ -14,25 +14,25 @@
 use anvilhook_daemon::front::FrontOptions;
 use anvilhook_daemon::proxy::{Held, NoClaims, in_flight_at};
 use support::fakes::{self, Ledger, SharedLedger};
-use support::fronts::{self, PATIENCE, configuration};
+use support::fronts::{self, TEST_TIMEOUT, configuration};
 
 const CALLERS: usize = 8;
 const ROUNDS: usize = 30;
 
-/// How often a mark and a count meet.
-const MEETINGS: usize = 30_000;
+/// The number of rounds in which a drain mark and a request count race.
+const RACES: usize = 30_000;
 
-/// How many requests the other upstream must answer before a round counts as quiet.
+/// The number of requests that the other upstream must answer while the drained one receives none.
 const QUIET_AFTER: u32 = 24;
 
 fn runs(ledger: &SharedLedger) -> u32 {
     ledger.lock().expect("a ledger").runs.values().sum()
 }
 
-/// Symptom: a request is cut by a role change, or reaches an engine amid one.
-/// Sequence: a drain marks the upstream and then finds nothing in flight there, while a request
-/// that chose the upstream before the mark has not been counted in yet.
-/// Cause: the mark looked at before the request is counted in, and not after.
+/// Guards against a request that is interrupted by a role change, or reaches an engine during one: a
+/// drain marks the upstream and then finds nothing in flight there, while a request that chose the
+/// upstream before the mark has not been counted as in flight yet. The request must check the mark after
+/// it is counted, not before.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn verify_nothing_reaches_a_drained_upstream() {
     let ledgers: [SharedLedger; 2] =
@@ -46,8 +46,8 @@
         let (front, stop) = (Arc::clone(&front), Arc::clone(&stop));
         tokio::spawn(async move {
             while !stop.load(Ordering::Relaxed) {
-                let told = front.ask("PUT", "/services/ledger/records", &[], "{}").await;
-                assert_eq!(told.outcome(), "answered", "{told:?}");
+                let answer = front.ask("PUT", "/services/ledger/records", &[], "{}").await;
+                assert_eq!(answer.outcome(), "answered", "{answer:?}");
             }
         })
     });
@@ -73,37 +73,37 @@
             }
         }
     };
-    let ended = tokio::time::timeout(PATIENCE.as_duration(), rounds).await;
+    let ended = tokio::time::timeout(TEST_TIMEOUT.as_duration(), rounds).await;
 
     stop.store(true, Ordering::Relaxed);
     for caller in callers {
         caller.await.expect("a caller whose requests were all answered");
     }
-    assert!(ended.is_ok(), "the rounds did not end");
+    assert!(ended.is_ok(), "the rounds did not complete in time");
 }
 
-/// Symptom, sequence and cause as above, without the rest of the path in between: the choice has
-/// been made, and the mark and the count meet at the same moment.
+/// Guards against the same failure without the rest of the request path: the upstream has been chosen,
+/// and the mark and the count are set at the same moment.
 #[test]
-fn verify_the_mark_and_the_count_never_miss_each_other() {
-    let upstreams: Vec<_> = (0..MEETINGS).map(|_| upstream()).collect();
+fn verify_a_racing_drain_mark_and_request_count_see_each_other() {
+    let upstreams: Vec<_> = (0..RACES).map(|_| upstream()).collect();
     let (requests, drains) = (AtomicUsize::new(0), AtomicUsize::new(0));
 
     let (held, in_flight) = std::thread::scope(|scope| {
         let request = scope.spawn(|| {
-            let meet = |(round, upstream): (usize, &Arc<UpstreamState>)| {
-                meet(&requests, &drains, round, round % 61);
+            let race = |(round, upstream): (usize, &Arc<UpstreamState>)| {
+                synchronize(&requests, &drains, round, round % 61);
                 Held::try_new(upstream, Work::default(), Millis(0))
             };
-            upstreams.iter().enumerate().map(meet).collect::<Vec<_>>()
+            upstreams.iter().enumerate().map(race).collect::<Vec<_>>()
         });
         let drain = scope.spawn(|| {
-            let meet = |(round, upstream): (usize, &Arc<UpstreamState>)| {
-                meet(&drains, &requests, round, round % 67);
+            let race = |(round, upstream): (usize, &Arc<UpstreamState>)| {
+                synchronize(&drains, &requests, round, round % 67);
                 upstream.set_leaving(true);
                 in_flight_at(upstream)
             };
-            upstreams.iter().enumerate().map(meet).collect::<Vec<_>>()
+            upstreams.iter().enumerate().map(race).collect::<Vec<_>>()
         });
         (request.join().expect("requests"), drain.join().expect("drains"))
     });
@@ -115,9 +115,9 @@
     assert!(upstreams.iter().all(|upstream| in_flight_at(upstream) == 0));
 }
 
-/// Waits until the other side has come to the same round. Uneven delays then move the two sides
-/// through each other.
-fn meet(own: &AtomicUsize, other: &AtomicUsize, round: usize, delay: usize) {
+/// Waits until the other side has reached the same round, and then for a delay. Uneven delays vary the
+/// order in which the two sides act.
+fn synchronize(own: &AtomicUsize, other: &AtomicUsize, round: usize, delay: usize) {
     own.store(round + 1, Ordering::SeqCst);
     while other.load(Ordering::SeqCst) <= round {
         std::thread::yield_now();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn verify_a_choice_from_before_the_mark_is_not_held() {
+fn verify_a_request_is_not_counted_at_an_upstream_marked_after_its_choice() {
     let upstream = upstream();
     upstream.set_leaving(true);
 
@@ -136,17 +136,16 @@
     assert_eq!(in_flight_at(&upstream), 0);
 }
 
-/// Symptom: a drain is acknowledged as having nothing in flight, and its request is cut.
-/// Sequence: a request is open at an engine that is undeclared and declared again, as it was, at
-/// another address, in another zone, or under another name.
-/// Cause: a count that goes with the declaration and not with the request.
+/// Guards against a drain that is acknowledged although a request is open, which is then interrupted: the
+/// engine is removed from the configuration and declared again unchanged, at another address, in another
+/// zone, or under another name. The count was tied to the declaration and not to the request.
 #[tokio::test]
 async fn verify_an_open_request_outlives_its_declaration() {
     let at = |ports: [u16; 2]| ports.map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
     let declared = |ports| configuration(&at(ports), |_| {}, (1_000, 1_000));
     let none = Configuration::default();
     for (case, again, name) in [
-        ("as it was", declared([1, 2]), "e0"),
+        ("unchanged", declared([1, 2]), "e0"),
         ("at another address", declared([9, 2]), "e0"),
         ("in another zone", rezoned(&declared([1, 2])), "e0"),
         ("under another name", declared([9, 1]), "e1"),
@@ -160,7 +159,7 @@
         for (cfg, name) in [(&none, &before), (&again, &after), (&none, &before), (&again, &after)]
         {
             front.apply(cfg, 1);
-            // A carry-over of marks that was under way may still lift what it knows of.
+            // Simulates a transfer of marks that is still in progress and clears the marks it knows.
             upstream.set_leaving(false);
             assert_eq!(front.in_flight_at(name), 1, "{case}");
             assert!(Held::try_new(&upstream, Work::default(), Millis(0)).is_none(), "{case}");
@@ -171,9 +170,9 @@
     }
 }
 
-/// Symptom: a drain is acknowledged as having nothing in flight, and its request is cut.
-/// Sequence: a request is open at an engine whose zone or address is changed in one step.
-/// Cause: the front makes a new state for it and counts in that one only.
+/// Guards against a drain that is acknowledged although a request is open, which is then interrupted: the
+/// zone or address of the engine is changed in one step, and the front creates a new state for the engine
+/// and counts only the requests of that state.
 #[tokio::test]
 async fn verify_an_open_request_outlives_a_change_of_its_engine() {
     let at = |ports: [u16; 2]| ports.map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
--- a/crates/anvilhook-daemon/tests/front_limits.rs
+++ b/crates/anvilhook-daemon/tests/front_limits.rs
@@ -1,4 +1,4 @@
-//! What the front refuses, with which answer, and that none of it ran.
+//! Tests the answer to each request that the front refuses, and that no refused request ran.
 
 #[allow(dead_code, reason = "each test file uses a part of the fixtures")]
 mod support;
@@ -15,7 +15,7 @@
 const CHAT: &str = "/v1/chat/completions";
 const RECORDS: &str = "/services/ledger/records";
 
-/// A method, a path, headers, a body, and the status and code of the refusal.
+/// `Case` is a method, a path, headers, a body, and the status and code of the refusal.
 type Case<'a> = (&'a str, &'a str, &'a [(&'a str, &'a str)], &'a str, u16, &'a str);
 
 async fn front(
@@ -65,15 +65,15 @@
         ("GET", CHAT, &[], "", 404, "unknown-call"),
     ];
     for (method, path, headers, body, status, code) in cases {
-        let told = front.ask(method, path, headers, body).await;
+        let answer = front.ask(method, path, headers, body).await;
 
-        let case = format!("{method} {path} {headers:.60?}: {told:?}");
-        let json: serde_json::Value = serde_json::from_str(&told.body).expect("JSON");
-        assert_eq!(told.status.as_u16(), *status, "{case}");
+        let case = format!("{method} {path} {headers:.60?}: {answer:?}");
+        let json: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
+        assert_eq!(answer.status.as_u16(), *status, "{case}");
         assert_eq!(json["error"]["code"], *code, "{case}");
         assert_eq!(json["error"]["verdict"], "not-run", "{case}");
-        assert_eq!(told.outcome(), "not-run", "{case}");
-        let request = told.headers["x-anvilhook-request"].to_str().expect("text");
+        assert_eq!(answer.outcome(), "not-run", "{case}");
+        let request = answer.headers["x-anvilhook-request"].to_str().expect("text");
         assert_eq!(json["error"]["request"], request, "{case}");
     }
     assert_eq!(runs(&ledger), 0);
@@ -85,22 +85,22 @@
     let id = "0123456789abcdef0123456789abcdef";
     let body = chat_body("x", false).replace("\"m\"", "\"verdicts\"");
 
-    let told = front.ask("POST", CHAT, &[("x-anvilhook-request", id)], &body).await;
+    let answer = front.ask("POST", CHAT, &[("x-anvilhook-request", id)], &body).await;
 
-    assert_eq!(told.outcome(), "answered");
-    assert_eq!(told.headers["x-anvilhook-request"], id);
-    assert!(told.body.contains("\\\"model\\\":\\\"m\\\""), "{}", told.body);
+    assert_eq!(answer.outcome(), "answered");
+    assert_eq!(answer.headers["x-anvilhook-request"], id);
+    assert!(answer.body.contains("\\\"model\\\":\\\"m\\\""), "{}", answer.body);
 }
 
 #[tokio::test]
 async fn verify_answers_larger_than_allowed_are_not_handed_on() {
     let (front, _ledger) = front(FrontOptions::default(), (100_000, 100_000)).await;
 
-    let told = front.ask("PUT", RECORDS, &[], &"y".repeat(400)).await;
+    let answer = front.ask("PUT", RECORDS, &[], &"y".repeat(400)).await;
     let (numbers, streamed) = front.ask_streamed(&chat_body("x", true)).await;
 
-    assert!(told.body.contains("answer-too-large"), "{told:?}");
-    assert_eq!((told.status.as_u16(), told.outcome().as_str()), (502, "may-have-run"));
+    assert!(answer.body.contains("answer-too-large"), "{answer:?}");
+    assert_eq!((answer.status.as_u16(), answer.outcome().as_str()), (502, "may-have-run"));
     assert!(numbers.len() < fakes::EVENTS as usize);
     assert_eq!(streamed, "may-have-run");
 }
@@ -116,18 +116,18 @@
     for (options, account, status, code) in cases {
         let (front, ledger) = front(options, account).await;
 
-        let told = front.ask("POST", RECORDS, &[], "{}").await;
+        let answer = front.ask("POST", RECORDS, &[], "{}").await;
 
-        assert_eq!(told.status.as_u16(), status, "{told:?}");
-        assert!(told.body.contains(code), "{told:?}");
-        assert!(told.headers.contains_key("retry-after"), "{told:?}");
-        assert_eq!((told.outcome().as_str(), runs(&ledger)), ("not-run", 0));
+        assert_eq!(answer.status.as_u16(), status, "{answer:?}");
+        assert!(answer.body.contains(code), "{answer:?}");
+        assert!(answer.headers.contains_key("retry-after"), "{answer:?}");
+        assert_eq!((answer.outcome().as_str(), runs(&ledger)), ("not-run", 0));
     }
 }
 
-/// Symptom: a stopping instance cuts a stream, or takes work that it can't finish.
-/// Sequence: the phase turns to draining while a stream is open, and new requests go on coming.
-/// Cause: requests counted out before their answers have been handed over.
+/// Guards against a stopping instance that truncates a stream, or accepts work that it cannot finish: the
+/// phase changes to draining while a stream is open and new requests arrive, and requests stop counting
+/// as in flight before their answers are forwarded.
 #[tokio::test]
 async fn verify_draining_refuses_new_work_and_waits_for_the_old() {
     let (mut front, ledger) = front(FrontOptions::default(), (100_000, 100_000)).await;
@@ -135,15 +135,15 @@
     let open = front.send("POST", CHAT, &[], &chat_body("x", true)).await;
 
     front.shutdown.advance(Phase::Draining);
-    let told = front.ask("POST", RECORDS, &[], "{}").await;
+    let answer = front.ask("POST", RECORDS, &[], "{}").await;
 
-    assert!(told.body.contains("draining"), "{told:?}");
-    assert_eq!((told.outcome().as_str(), told.status.as_u16()), ("not-run", 503));
-    assert_eq!(told.headers["connection"], "close");
+    assert!(answer.body.contains("draining"), "{answer:?}");
+    assert_eq!((answer.outcome().as_str(), answer.status.as_u16()), ("not-run", 503));
+    assert_eq!(answer.headers["connection"], "close");
     assert_eq!(front.front.in_flight(), 1);
     drop(open);
-    let idle = tokio::time::timeout(fronts::PATIENCE.as_duration(), front.front.idle()).await;
-    assert!(idle.is_ok(), "the stream stays counted in");
+    let idle = tokio::time::timeout(fronts::TEST_TIMEOUT.as_duration(), front.front.idle()).await;
+    assert!(idle.is_ok(), "the stream still counts as in flight");
     let mut text = String::new();
     encode(&mut text, &std::mem::take(&mut front.registry)).expect("metrics");
     let line = "requests_total{service=\"\",outcome=\"draining\",verdict=\"not-run\"} 1";
--- a/crates/anvilhook-daemon/tests/instance_seeds.rs
+++ b/crates/anvilhook-daemon/tests/instance_seeds.rs
@@ -1,4 +1,4 @@
-//! Instances that were given one seed, by mistake or by a test.
+//! Instances that start with the same seed, by mistake or in a test.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -12,7 +12,7 @@
 
 const SEED: u64 = 7;
 
-/// Starts an instance before a platform that is not there, and returns its name.
+/// Starts an instance whose platform is unreachable, and returns its name.
 async fn started_name() -> InstanceName {
     let text = include_str!("settings/good/minimal.yaml");
     let settings = settings::parse(Path::new("minimal.yaml"), text).expect("good settings");
@@ -20,9 +20,8 @@
     instance.announcement().instance.clone()
 }
 
-/// Symptom: an instance takes another's claim, lease or acknowledgement for its own.
-/// Sequence: two instances start with the same settings and the same seed.
-/// Cause: a name that the seed repeats.
+/// Guards against an instance that mistakes another's claim, lease or acknowledgement for its own: two
+/// instances start with the same settings and seed, and the seed gives both the same name.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_one_seed_gives_no_name_twice() {
     let names = [started_name().await, started_name().await];
@@ -30,9 +29,8 @@
     assert_ne!(names[0], names[1]);
 }
 
-/// Symptom: an instance takes another's claim for its own, and a request runs twice.
-/// Sequence: instances draw the ids of attempts from one seed.
-/// Cause: a seed without the instance's name.
+/// Guards against a request that runs twice because an instance mistakes another's claim for its own:
+/// instances draw the ids of attempts from the same seed, and the generator ignores the instance's name.
 #[test]
 fn verify_one_seed_gives_no_id_twice() {
     let names = ["entry-a", "entry-b", "entry-ab", "other-a"];
@@ -40,7 +38,11 @@
     let draws: BTreeSet<u64> = names.iter().map(|name| first_draw(name)).collect();
 
     assert_eq!(draws.len(), names.len());
-    assert_eq!(first_draw("entry-a"), first_draw("entry-a"), "a name and a seed can be repeated");
+    assert_eq!(
+        first_draw("entry-a"),
+        first_draw("entry-a"),
+        "the same name and seed give the same ids"
+    );
 }
 
 fn first_draw(name: &str) -> u64 {
--- a/crates/anvilhook-daemon/tests/load_digests.rs
+++ b/crates/anvilhook-daemon/tests/load_digests.rs
@@ -1,4 +1,4 @@
-//! Three instances that read engines for each other.
+//! Three instances that poll the load reports of engines for each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,27 +8,28 @@
 use anvilhook_core::units::{Millis, SystemClock};
 use anvilhook_daemon::instances::{InstanceHandle, LoadSources};
 
-/// The pause between two looks at something that is being waited for.
-const LOOK_AGAIN: Millis = Millis(20);
+/// The time between two checks of an awaited condition.
+const POLL_INTERVAL: Millis = Millis(20);
 
-/// A guard against a test that hangs; no test's outcome depends on it.
-const GUARD: Millis = Millis::from_secs(60);
+/// The time after which a test fails instead of hanging. No other conclusion depends on it.
+const TEST_TIMEOUT: Millis = Millis::from_secs(60);
 
-/// How many readings by each reader, and digests told to the others, are looked at.
+/// The number of load reports that each reader must poll, and of digests that the other instances must
+/// receive.
 const WINDOW: u64 = 5;
 
 type Fleet = Vec<InstanceHandle<SystemClock>>;
 
-type Seen = Vec<BTreeMap<UpstreamName, LoadSources>>;
+type Snapshot = Vec<BTreeMap<UpstreamName, LoadSources>>;
 
-fn look(fleet: &Fleet) -> Seen {
+fn snapshot(fleet: &Fleet) -> Snapshot {
     fleet.iter().map(InstanceHandle::load_sources).collect()
 }
 
-/// Returns what was added for an engine at an instance since an earlier look.
-fn added(now: &Seen, before: &Seen, at: usize, engine: &UpstreamName) -> LoadSources {
-    let of = |seen: &Seen| seen[at].get(engine).copied().unwrap_or_default();
-    let (now, before) = (of(now), of(before));
+/// Returns how much the counts for an engine at an instance grew between two snapshots.
+fn added(now: &Snapshot, before: &Snapshot, at: usize, engine: &UpstreamName) -> LoadSources {
+    let counts = |snapshot: &Snapshot| snapshot[at].get(engine).copied().unwrap_or_default();
+    let (now, before) = (counts(now), counts(before));
     LoadSources {
         read: now.read - before.read,
         read_missed: now.read_missed - before.read_missed,
@@ -36,29 +37,32 @@
     }
 }
 
-/// Waits until `is_done` holds of what was added since a look that `is_void` did not void.
+/// Waits until `is_done` holds between the first snapshot and the current one. When `is_interrupted`
+/// holds, the current snapshot becomes the first one.
 async fn wait_for(
     fleet: &Fleet,
-    is_void: impl Fn(&Seen, &Seen) -> bool,
-    is_done: impl Fn(&Seen, &Seen) -> bool,
+    is_interrupted: impl Fn(&Snapshot, &Snapshot) -> bool,
+    is_done: impl Fn(&Snapshot, &Snapshot) -> bool,
 ) {
     let waiting = async {
-        let mut before = look(fleet);
+        let mut before = snapshot(fleet);
         loop {
-            tokio::time::sleep(LOOK_AGAIN.as_duration()).await;
-            let now = look(fleet);
-            if is_void(&now, &before) {
+            tokio::time::sleep(POLL_INTERVAL.as_duration()).await;
+            let now = snapshot(fleet);
+            if is_interrupted(&now, &before) {
                 before = now;
             } else if is_done(&now, &before) {
                 return;
             }
         }
     };
-    tokio::time::timeout(GUARD.as_duration(), waiting).await.expect("it comes to hold");
+    tokio::time::timeout(TEST_TIMEOUT.as_duration(), waiting)
+        .await
+        .expect("the condition holds in time");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_two_read_and_the_third_is_told_until_the_link_is_cut() {
+async fn verify_two_poll_and_the_third_receives_digests_until_it_is_partitioned() {
     // Arrange.
     let site = Site::start(&SiteOptions::default()).await.expect("the site starts");
     let mut fleet = Fleet::new();
@@ -82,38 +86,40 @@
         pairs.filter(|(at, engine)| !readers[engine].contains(at))
     };
 
-    // Act, assert: for a whole window, only the readers read, and the third is told by them.
-    let is_void = |now: &Seen, before: &Seen| {
+    // Act, assert: for a whole window, only the readers poll, and the third instance receives their
+    // digests.
+    let is_interrupted = |now: &Snapshot, before: &Snapshot| {
         others().any(|(at, engine)| {
             let added = added(now, before, at, engine);
             added.read + added.read_missed > 0
         })
     };
-    let is_done = |now: &Seen, before: &Seen| {
-        let told = others().all(|(at, engine)| added(now, before, at, engine).told >= WINDOW);
-        told && readers.iter().all(|(engine, readers)| {
-            readers.iter().all(|at| added(now, before, *at, engine).read >= WINDOW)
-        })
+    let is_done = |now: &Snapshot, before: &Snapshot| {
+        let received = others().all(|(at, engine)| added(now, before, at, engine).told >= WINDOW);
+        received
+            && readers.iter().all(|(engine, readers)| {
+                readers.iter().all(|at| added(now, before, *at, engine).read >= WINDOW)
+            })
     };
-    wait_for(&fleet, is_void, is_done).await;
+    wait_for(&fleet, is_interrupted, is_done).await;
 
-    // Act, assert: cut off, an instance reads the others' engines by itself.
-    let (cut, _) = others().next().expect("some engine is read by two others");
-    fleet[cut].cut_link();
-    let is_done = |now: &Seen, before: &Seen| {
-        let mut missed = others().filter(|(at, _)| *at == cut);
+    // Act, assert: a partitioned instance polls the engines of the others by itself.
+    let (partitioned, _) = others().next().expect("an engine that two other instances read");
+    fleet[partitioned].cut_link();
+    let is_done = |now: &Snapshot, before: &Snapshot| {
+        let mut missed = others().filter(|(at, _)| *at == partitioned);
         missed.all(|(at, engine)| added(now, before, at, engine).read_missed >= WINDOW)
     };
     wait_for(&fleet, |_, _| false, is_done).await;
 
-    // An engine that leaves is noticed all the same.
-    let (_, engine) = others().find(|(at, _)| *at == cut).expect("one");
+    // The partitioned instance also detects an engine that leaves.
+    let (_, engine) = others().find(|(at, _)| *at == partitioned).expect("one");
     let index = engines.iter().position(|known| known == engine).expect("a known engine");
     site.engines[index].set_leaving(true);
     let leaving = async {
         while fleet.iter().any(|instance| instance.takes_work(engine)) {
-            tokio::time::sleep(LOOK_AGAIN.as_duration()).await;
+            tokio::time::sleep(POLL_INTERVAL.as_duration()).await;
         }
     };
-    tokio::time::timeout(GUARD.as_duration(), leaving).await.expect("all notice");
+    tokio::time::timeout(TEST_TIMEOUT.as_duration(), leaving).await.expect("all detect it in time");
 }
--- a/crates/anvilhook-daemon/tests/operators.rs
+++ b/crates/anvilhook-daemon/tests/operators.rs
@@ -18,7 +18,7 @@
 use serde_json::{Value, json};
 use volo_http::body::Body;
 
-/// Sends a raw request and returns the status and body of its answer.
+/// Sends a raw request and returns the status and the JSON body of the answer.
 async fn send(
     api: &Api,
     method: Method,
@@ -40,9 +40,10 @@
     (status, serde_json::from_slice(&buf).unwrap_or(Value::Null))
 }
 
-/// Method and path | who asks and other headers | body | status and code | a part of the message.
+/// The refusals, one per line: method and path | caller and other headers | body | status and code | a
+/// part of the message.
 ///
-/// `S` stands for a good spec.
+/// `S` stands for a valid spec.
 const REFUSALS: &str = r#"
 GET    /Account/cook   |                                   |    | 401 unauthenticated | needs an operator's bearer token
 GET    /Account/cook   | authorization: Bearer wrong       |    | 401 unauthenticated | bearer token
@@ -79,7 +80,7 @@
 DELETE /Account/cook   | operator, if-match: 3             |    | 409 conflict        | Account/cook stands at version 1
 "#;
 
-/// Reads the headers of a row. `reader` and `operator` stand for their tokens.
+/// Parses the headers of a line. `reader` and `operator` stand for authorization with their tokens.
 fn headers(text: &str) -> Vec<(&str, &str)> {
     let named = text.split(',').map(str::trim).filter(|header| !header.is_empty());
     let headers = named.map(|header| match header {
@@ -96,20 +97,21 @@
     api.declare("cook", 5, 0).await;
     for case in REFUSALS.trim().lines() {
         let columns: Vec<&str> = case.split('|').map(str::trim).collect();
-        let [call, asking, body, outcome, message] = columns[..] else { panic!("{case}") };
+        let [call, named_headers, body, outcome, message] = columns[..] else { panic!("{case}") };
         let (method, path) = call.split_once(' ').unwrap();
         let path = format!("/api/v1{}", path.trim());
         let body = body.replace(": S", &format!(": {}", account(1)));
         let body = (!body.is_empty()).then(|| serde_json::from_str(&body).unwrap());
 
         let method = method.parse().unwrap();
-        let (status, answer) = send(&api, method, &path, &headers(asking), body.as_ref()).await;
+        let (status, answer) =
+            send(&api, method, &path, &headers(named_headers), body.as_ref()).await;
 
-        let told: RefusalBody = serde_json::from_value(answer.clone()).expect(case);
+        let refusal: RefusalBody = serde_json::from_value(answer.clone()).expect(case);
         let code = answer["error"]["code"].as_str().unwrap();
-        assert_eq!(format!("{} {code}", status.as_u16()), outcome, "{case}: {told:?}");
-        assert!(told.error.message.contains(message), "{case}: {told:?}");
-        assert_eq!(told.error.field.is_some(), code == "bad-field", "{case}");
+        assert_eq!(format!("{} {code}", status.as_u16()), outcome, "{case}: {refusal:?}");
+        assert!(refusal.error.message.contains(message), "{case}: {refusal:?}");
+        assert_eq!(refusal.error.field.is_some(), code == "bad-field", "{case}");
     }
     assert_eq!(api.follower.revision(), Revision(1), "nothing was changed");
 }
@@ -137,7 +139,7 @@
         send(&api, Method::POST, "/api/v1/Account", &headers, Some(&body)).await;
     assert_eq!((status.as_u16(), created["revision"].as_u64()), (201, Some(1)));
 
-    // What was got can be put back with a change, status and all.
+    // A resource can be read, changed and put back together with its status.
     let mut got = serde_json::to_value(client.get(&key("cook")).await.unwrap()).unwrap();
     got["spec"]["requests_per_s"] = json!(9);
     got["status"] = json!([]);
@@ -152,19 +154,19 @@
     assert_eq!(client.get(&key("cook")).await.unwrap_err().code(), Some(Code::NotFound));
 
     let audit = api.client(READER).audit(None, 10).await.unwrap();
-    let told: Vec<(u64, &str, bool)> = audit
+    let listed: Vec<(u64, &str, bool)> = audit
         .entries
         .iter()
         .map(|entry| (entry.revision.0, entry.subject.as_str(), entry.before.is_some()))
         .collect();
-    assert_eq!(told, [(1, "eleni", false), (2, "eleni", true), (3, "eleni", true)]);
+    assert_eq!(listed, [(1, "eleni", false), (2, "eleni", true), (3, "eleni", true)]);
 }
 
-/// Symptom: the second of two operators undoes what the first one did, without a word.
-/// Sequence: both read version 1, change different fields and put the whole back.
-/// Cause: a put that does not say what it replaces.
+/// Guards against an operator who undoes another's change without an error: both read version 1, change
+/// different fields and put the whole resource back, and the put does not name the version that it
+/// replaces.
 #[tokio::test]
-async fn verify_the_slower_operator_sees_what_stands() {
+async fn verify_the_slower_operator_gets_the_current_resource() {
     let api = Api::start().await;
     api.declare("cook", 5, 0).await;
     let client = api.client(OPERATOR);
@@ -183,12 +185,11 @@
     assert_eq!(api.follower.revision(), Revision(2));
 }
 
-/// Symptom: an operator cannot find out whether a change was made.
-/// Sequence: the table's answers are lost after, before or long before the effect, and then the
-/// table is down.
-/// Cause: no id to ask by, or an answer that guesses.
+/// Guards against an operator who cannot find out whether a change was made, because there is no id to
+/// query or the answer is a guess. The table's answers are lost after, before or long before the effect,
+/// and then the table is down.
 #[tokio::test]
-async fn verify_an_unknown_change_can_be_asked_for_and_sent_again() {
+async fn verify_an_unknown_change_can_be_queried_and_resent() {
     let cases = [
         (Loss::AfterEffect, ChangeStateAnswer::Accepted { revision: Revision(2) }),
         (Loss::BeforeEffect, ChangeStateAnswer::Unknown),
@@ -199,7 +200,7 @@
         api.declare("cook", 5, 0).await;
         let client = api.client(OPERATOR);
         let body = put_body(account(6), 1);
-        // A try reads twice and writes; the table is down after that.
+        // An attempt reads twice and writes once. The rate limit makes the table unavailable after that.
         api.platform.faults().lose_next_writes(1, loss);
         let two_reads = RateLimits { reads_per_s: 2, writes_per_s: 100 };
         api.platform.faults().set_rate_limits(Some(two_reads));
@@ -242,7 +243,7 @@
 }
 
 #[tokio::test]
-async fn verify_status_shows_who_lags_and_who_holds_what() {
+async fn verify_status_shows_lagging_instances_and_lease_holders() {
     let api = Api::start().await;
     api.declare("cook", 5, 0).await;
     api.declare("cook", 6, 1).await;
@@ -278,7 +279,7 @@
 }
 
 #[tokio::test]
-async fn verify_why_shows_what_is_waited_for() {
+async fn verify_why_shows_the_awaited_conditions() {
     let api = Api::start().await;
     api.declare("cook", 5, 0).await;
     let statuses = StatusStore::new(api.platform.clone());
@@ -299,12 +300,12 @@
     let listed = api.client(READER).list(Kind::Account).await.unwrap();
 
     assert_eq!((why.observed.len(), why.waiting.len()), (2, 1));
-    let waited = &why.waiting[0].condition;
-    assert_eq!((waited.kind.as_str(), waited.since), ("Drained", WallTime(7)));
+    let awaited = &why.waiting[0].condition;
+    assert_eq!((awaited.kind.as_str(), awaited.since), ("Drained", WallTime(7)));
     assert_eq!(why.last_change.unwrap().subject.as_str(), "eleni");
     assert_eq!(listed.items[0].status.len(), 2);
 
-    // With its resource the status goes, too.
+    // Deleting the resource also deletes its status.
     api.client(OPERATOR).delete(&key("cook"), Revision(1), ChangeId(9)).await.unwrap();
     assert!(api.platform.rows("status/").is_empty());
 }
--- a/crates/anvilhook-daemon/tests/operators_fixture/mod.rs
+++ b/crates/anvilhook-daemon/tests/operators_fixture/mod.rs
@@ -1,4 +1,4 @@
-//! An operator API on a loopback socket over the in-process platform.
+//! An operator API on a loopback socket, with the in-process platform behind it.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::SocketAddr;
@@ -25,14 +25,14 @@
 
 pub type Platform = LocalPlatform<ManualClock>;
 
-/// The token of an operator named eleni.
+/// The token of the operator `eleni`, who may change resources.
 pub const OPERATOR: &str = "operator-token";
-/// The token of a reader named kostas.
+/// The token of the operator `kostas`, who may only read.
 pub const READER: &str = "reader-token";
-/// The prefix of the pools' rows.
+/// The key prefix of the pools' rows.
 pub const LEASE_PREFIX: &str = "pools/";
 
-/// `Api` is a running API. Dropping it stops it.
+/// `Api` is a running operator API. Dropping it stops the server.
 pub struct Api {
     pub address: SocketAddr,
     pub platform: Platform,
@@ -66,8 +66,9 @@
         let name = InstanceName::try_new("entry-1").unwrap();
         let store = ConfigurationStore::new(platform.clone(), StoreOptions::new(name));
         let follower = ConfigurationFollower::new(store.clone());
-        let kept = ArchiveOptions { older_than: Millis(0), keep_entries: 2, segment_entries: 3 };
-        let archive = AuditArchive::new(store, platform.clone(), kept);
+        let archive_options =
+            ArchiveOptions { older_than: Millis(0), keep_entries: 2, segment_entries: 3 };
+        let archive = AuditArchive::new(store, platform.clone(), archive_options);
         let shutdown = Shutdown::new();
         let parts = OperatorParts {
             follower: follower.clone(),
@@ -89,7 +90,7 @@
         ApiClient::try_new(self.address, Some(token), ApiClientOptions::default()).unwrap()
     }
 
-    /// Declares an account as the operator.
+    /// Declares an account with the token of the operator who may change resources.
     pub async fn declare(&self, name: &str, requests_per_s: u32, version: u64) -> Revision {
         let body = put_body(account(requests_per_s), version);
         let id = ChangeId(u128::from(self.follower.revision().0) + 1);
--- a/crates/anvilhook-daemon/tests/process_faults.rs
+++ b/crates/anvilhook-daemon/tests/process_faults.rs
@@ -1,5 +1,5 @@
-//! The promises of the system attacked on real daemon processes: kills, freezes, outages and races.
-//! The decisions are covered under a manual clock elsewhere; these tests cover how they are wired.
+//! Guarantees of the system on real daemon processes under kills, freezes, outages and races. Other
+//! tests cover the decisions under a manual clock; these tests cover how the parts are connected.
 
 #[path = "processes/calls.rs"]
 mod calls;
@@ -29,19 +29,19 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha8Rng;
 
-/// The seed of the ids of operators' changes. The site's declarations draw theirs from another.
+/// The seed of the ids of operators' changes. The declarations of the site use a different seed.
 const OPERATOR_SEED: u64 = 390;
 
-/// How a frozen holder's fate becomes known.
+/// `HolderOutcome` is the way in which it becomes known that a frozen holder gives no more orders.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Fate {
-    /// It wakes up and acknowledges its successor.
-    Wakes,
-    /// The platform says that it is gone, and it wakes up all the same.
+enum HolderOutcome {
+    /// The holder resumes and acknowledges its successor.
+    Resumes,
+    /// The platform lists the holder as gone, but the holder resumes later.
     ListedAsGone,
 }
 
-/// Returns whether `member` observes that some engine waits for `awaited`.
+/// Returns whether `member` reports that an engine waits for the instance `awaited`.
 async fn waits_for(fleet: &Fleet, member: &Member, awaited: &InstanceName) -> bool {
     for engine in 0..fleet.site.engines.len() {
         let key = ResourceKey { kind: Kind::Engine, name: name(&format!("engine-{engine}")) };
@@ -57,14 +57,14 @@
     false
 }
 
-/// Returns how many orders of a term or later all engines received.
+/// Returns how many orders of the given or a later term all engines together received.
 fn orders_since(fleet: &Fleet, term: Term) -> usize {
     let logs = fleet.site.engines.iter().flat_map(|engine| engine.orders());
     logs.filter(|record| record.order.stamp.term >= term).count()
 }
 
-async fn attack_by_a_frozen_holder(test: &'static str, checks_fencing: bool, fate: Fate) {
-    let case = format!("checks fencing: {checks_fencing}, {fate:?}");
+async fn verify_frozen_holder(test: &'static str, checks_fencing: bool, outcome: HolderOutcome) {
+    let case = format!("checks fencing: {checks_fencing}, {outcome:?}");
     let engine = EngineOptions {
         checks_fencing,
         model_load: Millis(1_000),
@@ -76,7 +76,7 @@
     let (frozen, other) = (&fleet.members[holder], &fleet.members[1 - holder]);
     let before = other.lease().await.expect("a lease").term;
 
-    // The holder freezes while its first order is being carried out and others are to follow.
+    // The holder freezes while its first order is running and others are pending.
     fleet.want_version(2).await;
     until("an order is given", async || orders_since(&fleet, before) > 0).await;
     frozen.daemon.signal("STOP");
@@ -87,60 +87,64 @@
         lease.holder.as_ref() == Some(other.name()) && lease.uncleared.contains(frozen.name())
     })
     .await;
-    assert!(term > before, "{case}: a new holder has a new fencing number");
+    assert!(term > before, "{case}: a new holder has a higher fencing number");
     until("the change waits for the frozen instance", async || {
         waits_for(&fleet, other, frozen.name()).await || orders_since(&fleet, term) > 0
     })
     .await;
-    assert_eq!(orders_since(&fleet, term), 0, "{case}: an order without evidence");
+    assert_eq!(
+        orders_since(&fleet, term),
+        0,
+        "{case}: an order before the frozen instance was known to give none"
+    );
 
-    if fate == Fate::ListedAsGone {
-        fleet.site.platform.enter_instance(frozen.line(ListedState::Gone));
+    if outcome == HolderOutcome::ListedAsGone {
+        fleet.site.platform.enter_instance(frozen.list_entry(ListedState::Gone));
         fleet.version_loaded(2).await;
     }
     frozen.daemon.signal("CONT");
     fleet.version_loaded(2).await;
-    // One more change, which gives the woken instance the time to do harm.
+    // One more change gives the resumed instance time to send an incorrect order.
     fleet.want_version(3).await;
     fleet.version_loaded(3).await;
 
     for (index, engine) in fleet.site.engines.iter().enumerate() {
         let log = engine.orders();
         check_orders(index, &log, &case);
-        assert_eq!(log.len(), 2, "{case}: each engine is given each order once: {log:?}");
+        assert_eq!(log.len(), 2, "{case}: each engine receives each order once: {log:?}");
     }
     let lease = other.lease().await.expect("a lease");
     assert_eq!(lease.holder.as_ref(), Some(other.name()), "{case}: the new holder stays");
     assert!(lease.uncleared.is_empty(), "{case}: the former holder is cleared");
 }
 
-/// Symptom: an engine loads a model that was replaced long ago.
-/// Sequence: the holder freezes amid a change, the other takes over, the first wakes up.
-/// Cause: a process that goes by the authority it had when it fell asleep.
+/// Guards against an engine that loads a model which was replaced long ago: the holder freezes during a
+/// change, the other instance takes over, and the first one resumes and still relies on the authority
+/// that it had before the freeze.
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_a_frozen_holder_that_wakes_up_gives_no_order() {
-    attack_by_a_frozen_holder("frozen-checks", true, Fate::Wakes).await;
+async fn verify_a_frozen_holder_that_resumes_gives_no_order() {
+    verify_frozen_holder("frozen-checks", true, HolderOutcome::Resumes).await;
 }
 
-/// Symptom: two orders at once at an engine that takes whatever comes.
-/// Sequence: as above, at engines that ignore the fencing number.
-/// Cause: a successor that gives orders while nothing says that the first will give no more.
+/// Guards against two orders at once at an engine that accepts every order: the holder freezes as in the
+/// test above, the engines ignore the fencing number, and the successor gives orders before it is known
+/// that the first holder gives no more.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_engines_that_ignore_fencing_wait_for_the_frozen_holder() {
-    attack_by_a_frozen_holder("frozen-ignores", false, Fate::Wakes).await;
+    verify_frozen_holder("frozen-ignores", false, HolderOutcome::Resumes).await;
 }
 
-/// Symptom: a change waits for ever for an instance whose machine is gone.
-/// Sequence: the frozen holder is listed as gone, its successor goes on, and it wakes up against the
-/// platform's word.
-/// Cause: a successor that does not read the list, or a sleeper that trusts its old lease.
+/// Guards against a change that waits for ever for an instance whose machine is gone, because the
+/// successor does not read the instance list. The frozen holder is listed as gone, its successor
+/// continues, and the holder resumes in spite of the list. It must not rely on its old lease.
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_the_platforms_word_frees_the_engines_of_a_frozen_holder() {
-    attack_by_a_frozen_holder("frozen-gone", false, Fate::ListedAsGone).await;
+async fn verify_a_listing_as_gone_releases_the_engines_of_a_frozen_holder() {
+    verify_frozen_holder("frozen-gone", false, HolderOutcome::ListedAsGone).await;
 }
 
-/// Calls the first instance until a call fails, and then has the second settle a keyed one.
-async fn call_until_the_kill(
+/// Calls the first instance until a call fails, and repeats the failed call at the second instance if
+/// it has a key.
+async fn call_until_killed(
     caller: Caller,
     instances: [std::net::SocketAddr; 2],
     number: usize,
@@ -151,9 +155,9 @@
         let call = plain_call(number, turn, is_keyed);
         let outcome = caller.plain(instances[0], &call).await;
         let has_failed = outcome.answer().is_none();
-        let mut sent = Sent { call, heard: vec![outcome] };
+        let mut sent = Sent { call, outcomes: vec![outcome] };
         if has_failed && is_keyed {
-            sent.heard.push(caller.plain(instances[1], &sent.call).await);
+            sent.outcomes.push(caller.plain(instances[1], &sent.call).await);
         }
         all.push(sent);
         if has_failed {
@@ -163,17 +167,16 @@
     all
 }
 
-/// Symptom: a lot is sold twice after a machine failed.
-/// Sequence: an instance is killed amid records and alerts; callers repeat at the other instance
-/// under their keys.
-/// Cause: a claim that does not stand before its request is sent, or that a repeat does not see.
+/// Guards against a record that is entered twice after a machine failed: an instance is killed during
+/// records and alerts, and callers repeat keyed calls at the other instance. The claim was not stored
+/// before its request was sent, or the repeated call does not find it.
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_a_killed_instance_doubles_and_crosses_nothing() {
+async fn verify_a_killed_instance_duplicates_no_call_and_mixes_up_no_answer() {
     let options = SiteOptions { engines: 1, ..SiteOptions::default() };
     let fleet = Fleet::start("killed", &options).await;
     let callers = [0, 1].map(|index| fleet.members[index].daemon.callers());
     let calling: Vec<_> = (0..24)
-        .map(|number| tokio::spawn(call_until_the_kill(fleet.caller.clone(), callers, number)))
+        .map(|number| tokio::spawn(call_until_killed(fleet.caller.clone(), callers, number)))
         .collect();
     until("calls are run", async || fleet.site.ledger.all().len() > 200).await;
 
@@ -186,17 +189,17 @@
     for sent in &all {
         check_sent(sent, &fleet.site.ledger);
     }
-    let is_lost = |sent: &&Sent| matches!(sent.heard[0], Outcome::Lost { .. });
+    let is_lost = |sent: &&Sent| matches!(sent.outcomes[0], Outcome::Lost { .. });
     assert!(
         all.iter().filter(is_lost).count() > 0,
-        "the kill cut no call, so nothing was at stake"
+        "the kill interrupted no call, so the test checked nothing"
     );
-    let is_settled = |sent: &Sent| sent.heard.last().is_some_and(|last| last.answer().is_some());
-    let repeated: Vec<&Sent> = all.iter().filter(|sent| sent.heard.len() > 1).collect();
+    let is_settled = |sent: &Sent| sent.outcomes.last().is_some_and(|last| last.answer().is_some());
+    let repeated: Vec<&Sent> = all.iter().filter(|sent| sent.outcomes.len() > 1).collect();
     for sent in repeated.iter().filter(|sent| !is_settled(sent)) {
-        let last = sent.heard.last();
+        let last = sent.outcomes.last();
         let in_doubt = matches!(last, Some(Outcome::Failed { verdict: Verdict::MayHaveRun, .. }));
-        assert!(in_doubt, "a repeat is answered or in doubt, as the claim stands: {last:?}");
+        assert!(in_doubt, "a repeated call is answered or may have run: {last:?}");
     }
 }
 
@@ -204,27 +207,27 @@
     ResourceKey { kind: Kind::Account, name: name("kitchens") }
 }
 
-/// Puts another limit into the account at one instance, in place of what stands.
+/// Changes the request limit of the account at one instance, given the account's current state.
 async fn change_account(
     member: &Member,
-    standing: &Resource,
+    current: &Resource,
     requests_per_s: u32,
     id: ChangeId,
 ) -> anvilhook_api::Result<Revision> {
-    let Spec::Account(mut spec) = standing.spec.clone() else { panic!("{standing:?}") };
+    let Spec::Account(mut spec) = current.spec.clone() else { panic!("{current:?}") };
     spec.requests_per_s = requests_per_s;
-    let body = replacing(standing, &Spec::Account(spec));
+    let body = replacing(current, &Spec::Account(spec));
     Ok(member.api.put(&account(), &body, id).await?.revision)
 }
 
-/// Returns the account as it is in force at an instance, for which no table is needed.
-async fn standing_account(member: &Member) -> Resource {
+/// Returns the account that an instance has applied. The instance answers this without the table.
+async fn current_account(member: &Member) -> Resource {
     let all = member.api.configuration().await.expect("the configuration can be read");
     let account = all.items.into_iter().find(|item| item.spec.kind() == Kind::Account);
     account.expect("the account is declared")
 }
 
-/// Samples the revisions in force until it is told to stop; none may ever go back.
+/// Reads the applied revision of an instance until `done` is set, and fails if it ever decreases.
 fn watch_revisions(member: &Member, done: Arc<AtomicBool>) -> tokio::task::JoinHandle<Revision> {
     let api = member.api.clone();
     tokio::spawn(async move {
@@ -239,21 +242,21 @@
     })
 }
 
-/// Symptom: with the platform down, the site stands still or takes what it cannot keep.
-/// Sequence: the table and the object store fail for longer than a lease; an instance restarts
-/// meanwhile; then all comes back and a change is made.
-/// Cause: a request path that waits for the table, or a start that needs it.
+/// Guards against a site that stops serving, or accepts changes that it cannot store, while the platform
+/// is down: a request path waits for the table, or an instance needs the table to start. The table and
+/// the object store fail for longer than a lease, an instance restarts meanwhile, and then the platform
+/// recovers and a change is made.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_service_goes_on_while_the_platform_is_down() {
     let mut fleet = Fleet::start("outage", &SiteOptions::default()).await;
     let mut rng = ChaCha8Rng::seed_from_u64(OPERATOR_SEED);
-    let standing = standing_account(&fleet.members[0]).await;
+    let current = current_account(&fleet.members[0]).await;
     let id = ChangeId::random(&mut rng);
-    let accepted = change_account(&fleet.members[0], &standing, 1_000, id).await;
+    let accepted = change_account(&fleet.members[0], &current, 1_000, id).await;
     let accepted = accepted.expect("the change is accepted");
     for member in &fleet.members {
-        until("the change is in force", async || member.in_force().await == Some(accepted)).await;
-        fleet.site.platform.enter_instance(member.line(ListedState::Live));
+        until("the change is applied", async || member.in_force().await == Some(accepted)).await;
+        fleet.site.platform.enter_instance(member.list_entry(ListedState::Live));
     }
 
     let faults = fleet.site.platform.faults();
@@ -270,15 +273,15 @@
         let outcome = fleet.caller.plain(member.daemon.callers(), &alert).await;
         assert!(outcome.answer().is_some(), "alerts need no table: {outcome:?}");
         assert_eq!(fleet.site.ledger.runs_of_body(alert.body.as_bytes()), 1);
-        assert_eq!(member.in_force().await, Some(accepted), "what was accepted stays in force");
+        assert_eq!(member.in_force().await, Some(accepted), "the accepted revision stays applied");
     }
 
     let record = plain_call(1, 0, true);
     let outcome = fleet.caller.plain(fleet.members[0].daemon.callers(), &record).await;
     assert!(outcome.is_not_run(), "a record that cannot be claimed is refused: {outcome:?}");
-    let standing = standing_account(&fleet.members[0]).await;
+    let current = current_account(&fleet.members[0]).await;
     let id = ChangeId::random(&mut rng);
-    let refused = change_account(&fleet.members[0], &standing, 1_500, id).await;
+    let refused = change_account(&fleet.members[0], &current, 1_500, id).await;
     let refused = refused.expect_err("no change is accepted without the table");
     assert_eq!(refused.verdict(), Verdict::NotRun, "{refused}");
     assert_eq!(refused.code(), Some(Code::NotAccepted), "{refused}");
@@ -286,7 +289,7 @@
     fleet.members[1].daemon.signal("KILL");
     let restarted = fleet.spawn(1).await;
     restarted.ready().await;
-    assert_eq!(restarted.in_force().await, Some(accepted), "a peer hands the configuration on");
+    assert_eq!(restarted.in_force().await, Some(accepted), "a peer forwards the configuration");
     until("the restarted instance answers", async || {
         fleet.answers_chat(&restarted, "Are you back?").await.is_ok()
     })
@@ -296,24 +299,24 @@
     faults.heal();
     let (last, mut changed) = (ChangeId::random(&mut rng), None);
     until("a change is accepted again", async || {
-        changed = change_account(&fleet.members[1], &standing, 2_000, last).await.ok();
+        changed = change_account(&fleet.members[1], &current, 2_000, last).await.ok();
         changed.is_some()
     })
     .await;
     for member in &fleet.members {
-        until("all converge", async || member.in_force().await == changed).await;
+        until("all have applied the change", async || member.in_force().await == changed).await;
     }
     assert_eq!(fleet.site.ledger.runs_of_body(record.body.as_bytes()), 0, "refused as not run");
 }
 
-/// Makes a change and asks until its fate is known. Returns whether it was accepted.
-async fn settled_change(
+/// Makes a change, queries it until its outcome is known and returns whether it was accepted.
+async fn change_and_settle(
     member: &Member,
-    standing: &Resource,
+    current: &Resource,
     requests_per_s: u32,
     id: ChangeId,
 ) -> bool {
-    let err = match change_account(member, standing, requests_per_s, id).await {
+    let err = match change_account(member, current, requests_per_s, id).await {
         Ok(_revision) => return true,
         Err(err) => err,
     };
@@ -324,7 +327,7 @@
         code => panic!("{code:?}: {err}"),
     }
     let mut state = ChangeStateAnswer::Unknown;
-    until("the change's fate is known", async || {
+    until("the outcome of the change is known", async || {
         if let Ok(answer) = member.api.change_state(id, refusal.base).await {
             state = answer;
         }
@@ -334,12 +337,12 @@
     matches!(state, ChangeStateAnswer::Accepted { .. })
 }
 
-/// Symptom: an operator is told that a change failed, and it is in force; or two both succeed.
-/// Sequence: two operators change one resource at two instances at once, while the answers of the
-/// table are lost after the write.
-/// Cause: a lost answer that is taken for a failure, or a repeat that does not see its first try.
+/// Guards against a change that is reported as failed although it was applied, and against two
+/// conflicting changes that both succeed: two operators change one resource at two instances at once
+/// while the table's answers are lost after the write. A lost answer is treated as a failure, or a
+/// retry does not find its first attempt.
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_operators_who_race_hear_the_truth() {
+async fn verify_racing_operators_get_correct_outcomes() {
     let options = SiteOptions { engines: 1, plain: 0, ..SiteOptions::default() };
     let fleet = Fleet::start("race", &options).await;
     let done = Arc::new(AtomicBool::new(false));
@@ -349,9 +352,9 @@
     let [first, second] = [&fleet.members[0], &fleet.members[1]];
 
     for round in 0..8_u32 {
-        let before = standing_account(first).await;
+        let before = current_account(first).await;
         for member in &fleet.members {
-            assert_eq!(standing_account(member).await.version, before.version);
+            assert_eq!(current_account(member).await.version, before.version);
             // Heartbeats may use up some of these.
             member.platform.faults().lose_next_writes(round as usize % 4, Loss::AfterEffect);
         }
@@ -359,8 +362,8 @@
         let values = [10_000 + round, 20_000 + round];
 
         let accepted = tokio::join!(
-            settled_change(first, &before, values[0], ids[0]),
-            settled_change(second, &before, values[1], ids[1]),
+            change_and_settle(first, &before, values[0], ids[0]),
+            change_and_settle(second, &before, values[1], ids[1]),
         );
 
         fleet.members.iter().for_each(|member| member.platform.faults().heal());
@@ -370,9 +373,9 @@
             both => panic!("round {round}: exactly one change is accepted, not {both:?}"),
         };
         for member in &fleet.members {
-            until("the winner is in force", async || {
-                let standing = standing_account(member).await;
-                let Spec::Account(spec) = standing.spec else { return false };
+            until("the accepted change is applied", async || {
+                let current = current_account(member).await;
+                let Spec::Account(spec) = current.spec else { return false };
                 spec.requests_per_s == values[winner]
             })
             .await;
@@ -381,11 +384,12 @@
 
     let head = first.api.status().await.expect("the status can be read").head;
     for member in &fleet.members {
-        until("both are at the head", async || member.in_force().await == head).await;
+        until("both have applied the latest revision", async || member.in_force().await == head)
+            .await;
     }
     done.store(true, Ordering::Release);
     for task in watching {
-        let last = task.await.expect("no revision in force ever went back");
+        let last = task.await.expect("the applied revision never decreases");
         assert!(Some(last) <= head);
     }
 }
--- a/crates/anvilhook-daemon/tests/process_upstreams.rs
+++ b/crates/anvilhook-daemon/tests/process_upstreams.rs
@@ -1,4 +1,4 @@
-//! Planned changes, and upstreams that leave or go silent, under load before real daemon processes.
+//! Planned changes, and upstreams that leave or stop responding, with load on real daemon processes.
 
 #[path = "processes/calls.rs"]
 mod calls;
@@ -27,7 +27,7 @@
 use fleets::{Fleet, Member, check_orders, until};
 use tokio::task::JoinHandle;
 
-/// The tokens of a long stream, which lasts some seconds at a slow engine.
+/// The number of tokens of a long stream, which takes a few seconds at a slow engine.
 const LONG: u64 = 100;
 
 fn slow_engine() -> EngineOptions {
@@ -48,7 +48,7 @@
     tokio::spawn(async move { caller.chat(instance, &call).await })
 }
 
-/// Starts upstreams that run a call at once and take a while to answer it.
+/// Starts upstreams that run a call immediately and answer it after a delay.
 async fn slow_plain_servers(ledger: &RunLedger) -> Vec<PlainServer> {
     let front = FrontOptions { holds_connections: true, ..FrontOptions::default() };
     let mut servers = Vec::new();
@@ -73,7 +73,7 @@
     fleet.site.engines.iter().map(|engine| engine.orders().len()).sum()
 }
 
-/// Returns whether `member` observes of a resource that it waits for `awaited`.
+/// Returns whether `member` reports that a resource waits for `awaited`.
 async fn waits_for(member: &Member, key: &ResourceKey, awaited: &str) -> bool {
     let Ok(why) = member.api.why(key).await else { return false };
     why.waiting.iter().any(|waiting| waiting.condition.message.contains(awaited))
@@ -83,8 +83,8 @@
     ResourceKey { kind: Kind::Engine, name: name(engine_name(index).as_str()) }
 }
 
-/// Asks one question after the other until it is told to stop.
-fn keep_asking(
+/// Sends one chat request after another until `done` is set, and returns the calls with their outcomes.
+fn ask_repeatedly(
     caller: Caller,
     instance: SocketAddr,
     done: Arc<AtomicBool>,
@@ -100,20 +100,21 @@
     })
 }
 
-/// Symptom: a stream ends in its middle when engines are changed while an instance does not answer.
-/// Sequence: an instance freezes with a stream open; a drain and a new model version are declared;
-/// the frozen instance wakes up later.
-/// Cause: silence that is taken for consent.
+/// Guards against a stream that is truncated when engines are changed while an instance does not
+/// respond: an instance freezes with a stream open, a drain and a new model version are declared, and
+/// the frozen instance resumes later. A missing acknowledgement is treated as an acknowledgement.
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_a_frozen_instance_holds_up_planned_changes_and_no_stream_is_cut() {
+async fn verify_a_frozen_instance_delays_planned_changes_and_no_stream_is_truncated() {
     let options =
         SiteOptions { engines: 3, engine: slow_engine(), plain: 0, ..SiteOptions::default() };
     let fleet = Fleet::start("veto", &options).await;
     let holder = fleet.holder().await;
-    let (keeper, frozen) = (&fleet.members[holder], &fleet.members[1 - holder]);
+    let (holder_member, frozen) = (&fleet.members[holder], &fleet.members[1 - holder]);
     let done = Arc::new(AtomicBool::new(false));
     let asking: Vec<_> = (0..2)
-        .map(|_| keep_asking(fleet.caller.clone(), keeper.daemon.callers(), Arc::clone(&done)))
+        .map(|_| {
+            ask_repeatedly(fleet.caller.clone(), holder_member.daemon.callers(), Arc::clone(&done))
+        })
         .collect();
     let long = stream("Read the whole manual.".to_owned(), LONG);
     let open = open_stream(&fleet, frozen, &long);
@@ -139,17 +140,17 @@
     until("the change waits for the frozen instance by name", async || {
         let mut is_named = false;
         for engine in 0..options.engines {
-            is_named |= waits_for(keeper, &engine_key(engine), frozen.name().as_str()).await;
+            is_named |= waits_for(holder_member, &engine_key(engine), frozen.name().as_str()).await;
         }
         is_named || orders(&fleet) > 0
     })
     .await;
-    assert_eq!(orders(&fleet), 0, "an order without the frozen instance's word");
+    assert_eq!(orders(&fleet), 0, "an order without the frozen instance's acknowledgement");
 
     frozen.daemon.signal("CONT");
     fleet.version_loaded(2).await;
     until("the drain is done", async || {
-        let Ok(why) = keeper.api.why(&plan_key).await else { return false };
+        let Ok(why) = holder_member.api.why(&plan_key).await else { return false };
         why.observed.iter().any(|seen| seen.condition.state == ConditionState::True)
     })
     .await;
@@ -164,18 +165,20 @@
     }
     for (index, engine) in fleet.site.engines.iter().enumerate() {
         check_orders(index, &engine.orders(), "veto");
-        let cut = |end| matches!(end, Some((AttemptEnd::Cut, _)));
-        assert!(!engine.attempts().iter().any(|attempt| cut(attempt.end)), "engine {index}");
+        let is_interrupted = |end| matches!(end, Some((AttemptEnd::Cut, _)));
+        assert!(
+            !engine.attempts().iter().any(|attempt| is_interrupted(attempt.end)),
+            "engine {index}"
+        );
     }
 }
 
-/// Symptom: callers wait for ever, or an alert goes out twice, after a switch forgot its connections.
-/// Sequence: all open connections of all upstreams go silent for good amid streams and alerts, while
-/// new connections work.
-/// Cause: a silent connection that is trusted without a bound, or a call that is sent again on a new
-/// one though it may have run.
+/// Guards against callers that wait for ever, or an alert that is sent twice, after a network switch
+/// lost its connection state: all open connections to all upstreams stop delivering data during streams
+/// and alerts, while new connections work. The wait on such a connection has no limit, or a call is sent
+/// again on a new connection although it may have run.
 #[tokio::test(flavor = "multi_thread")]
-async fn verify_silent_connections_lose_no_stream_and_double_no_call() {
+async fn verify_silent_connections_lose_no_stream_and_duplicate_no_call() {
     let ledger = RunLedger::default();
     let plain = slow_plain_servers(&ledger).await;
     let other_plain = plain.iter().map(PlainServer::address).collect();
@@ -200,7 +203,7 @@
                     let call = plain_call(number, all.len(), number.is_multiple_of(3));
                     let outcome = caller.plain(instance, &call).await;
                     ended.fetch_add(1, Ordering::AcqRel);
-                    all.push(Sent { call, heard: vec![outcome] });
+                    all.push(Sent { call, outcomes: vec![outcome] });
                 }
                 all
             })
@@ -208,7 +211,7 @@
         .collect();
     until("all streams run", async || open_attempts(&fleet.site.engines) == streams.len()).await;
 
-    until("calls have run and are not answered", async || {
+    until("calls have run and are unanswered", async || {
         ledger.all().len() >= ended.load(Ordering::Acquire) + calling.len() / 2
     })
     .await;
@@ -227,18 +230,18 @@
     let mut in_doubt = 0;
     for task in calling {
         for sent in task.await.expect("the caller's task ends") {
-            in_doubt += usize::from(sent.heard[0].answer().is_none());
-            let is_lost = matches!(sent.heard[0], Outcome::Lost { .. } | Outcome::Unreachable);
-            assert!(!is_lost, "the instance says what it knows: {:?}", sent.heard);
+            in_doubt += usize::from(sent.outcomes[0].answer().is_none());
+            let is_lost = matches!(sent.outcomes[0], Outcome::Lost { .. } | Outcome::Unreachable);
+            assert!(!is_lost, "the instance reports each call's outcome: {:?}", sent.outcomes);
             check_sent(&sent, &ledger);
         }
     }
-    assert!(in_doubt > 0, "no call met the silence, so nothing was at stake");
+    assert!(in_doubt > 0, "no call was open on a silent connection, so the test checked nothing");
 }
 
-/// Symptom: requests are cut when a machine is taken away that was announced long before.
-/// Sequence: the platform lists an engine as leaving amid a stream; callers go on asking.
-/// Cause: the list is read, and its word does not reach what routes requests.
+/// Guards against requests that are interrupted when a machine is removed although its removal was
+/// announced long before: the platform lists an engine as leaving during a stream, and callers continue
+/// to send requests. The list is read, but the router does not receive the update.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_an_engine_listed_as_leaving_gets_no_new_work() {
     let options = SiteOptions {
@@ -250,7 +253,7 @@
     let fleet = Fleet::start("leaving", &options).await;
     let leaving = &fleet.site.engines[0];
     let mut streams = Vec::new();
-    until("the engine to leave has a stream", async || {
+    until("the leaving engine has a stream", async || {
         let call = stream(format!("manual {}", streams.len()), LONG);
         let open = open_stream(&fleet, &fleet.members[streams.len() % 2], &call);
         streams.push((call, open));
@@ -264,7 +267,7 @@
         zone: zone(0),
         state: ListedState::Leaving,
     });
-    // Several parts of an instance read the list; after this many calls each has read it twice.
+    // Several parts of an instance read the list. After this many calls each has read it at least twice.
     let reads = |member: &Member| member.platform.counts().list_calls;
     let before: Vec<u64> = fleet.members.iter().map(reads).collect();
     until("both instances have read the list", async || {
@@ -279,7 +282,10 @@
     }
 
     assert_eq!(leaving.attempts().len(), begun, "new work at the leaving engine");
-    assert!(fleet.site.engines[1].attempts().len() >= elsewhere + 20, "the other does the work");
+    assert!(
+        fleet.site.engines[1].attempts().len() >= elsewhere + 20,
+        "the other engine runs the requests"
+    );
     for (call, open) in streams {
         let outcome = open.await.expect("the caller's task ends");
         assert!(is_whole(&call, &outcome), "{call:?}: {outcome:?}");
--- a/crates/anvilhook-daemon/tests/processes/fleets.rs
+++ b/crates/anvilhook-daemon/tests/processes/fleets.rs
@@ -1,4 +1,5 @@
-//! Several daemon processes before one site, each with a way of its own to the platform.
+//! Several daemon processes of one site. Each has its own connection to the platform, so that faults
+//! can be injected for one instance alone.
 
 use std::time::Duration;
 
@@ -18,31 +19,34 @@
 
 use crate::processes::DaemonProcess;
 
-/// The lease of these tests: short, and yet with room for a slow machine.
+/// The lease length in these tests: short, but long enough for a slow machine.
 pub const LEASE: Millis = Millis(3_000);
 const GUARD: Millis = Millis(1_000);
 
-/// The pause between two looks at something that is being waited for.
-const LOOK_AGAIN: Duration = Duration::from_millis(20);
+/// The time between two checks of an awaited condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// After this time a test that waits in vain is given up. Nothing is concluded from it but that.
-const GIVE_UP: Duration = Duration::from_secs(90);
+/// The time after which a wait fails the test. No other conclusion depends on it.
+const TEST_TIMEOUT: Duration = Duration::from_secs(90);
 
-/// Waits until something is so.
-pub async fn until(what: &str, mut is_so: impl AsyncFnMut() -> bool) {
-    let looking = async {
-        while !is_so().await {
-            tokio::time::sleep(LOOK_AGAIN).await;
+/// Waits until a condition holds, and fails the test after `TEST_TIMEOUT`. `what` names the condition.
+pub async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+    let polling = async {
+        while !holds().await {
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     };
-    assert!(tokio::time::timeout(GIVE_UP, looking).await.is_ok(), "waited in vain until {what}");
+    assert!(
+        tokio::time::timeout(TEST_TIMEOUT, polling).await.is_ok(),
+        "timed out waiting until {what}"
+    );
 }
 
-/// `Member` is one instance with its own way to the platform.
+/// `Member` is one instance with its own connection to the platform.
 pub struct Member {
     /// The process.
     pub daemon: DaemonProcess,
-    /// Its view of the platform, which can be cut off alone.
+    /// Its access to the platform, in which faults can be injected for this instance alone.
     pub platform: LocalPlatform<SystemClock>,
     /// A client of its operator API.
     pub api: ApiClient,
@@ -50,12 +54,12 @@
 }
 
 impl Member {
-    /// Returns the running name.
+    /// Returns the name of the running instance.
     pub fn name(&self) -> &InstanceName {
         &self.daemon.announcement().instance
     }
 
-    /// Waits until the instance says that it is ready.
+    /// Waits until the instance reports that it is ready.
     pub async fn ready(&self) {
         until("the instance is ready", async || {
             self.daemon.probe("/readyz").await.0 == StatusCode::OK
@@ -63,18 +67,18 @@
         .await;
     }
 
-    /// Returns the authority over the one pool, as this instance reads it from the table.
+    /// Returns the lease of the only pool, as this instance reads it from the table.
     pub async fn lease(&self) -> Option<LeaseAnswer> {
         self.api.status().await.ok()?.leases.into_iter().next()
     }
 
-    /// Returns the revision in force here; none if the instance does not answer.
+    /// Returns the revision that this instance has applied, or nothing if it does not answer.
     pub async fn in_force(&self) -> Option<Revision> {
         Some(self.api.status().await.ok()?.in_force)
     }
 
-    /// Returns its line of the platform's list.
-    pub fn line(&self, state: ListedState) -> ListedInstance {
+    /// Returns its entry for the platform's instance list, with the given state.
+    pub fn list_entry(&self, state: ListedState) -> ListedInstance {
         let announced = self.daemon.announcement();
         ListedInstance {
             name: name(announced.instance.as_str()),
@@ -85,19 +89,19 @@
     }
 }
 
-/// `Fleet` is a site with instances before it.
+/// `Fleet` is a site with the instances that serve it.
 pub struct Fleet {
-    /// The stand-ins.
+    /// The stand-ins of the engines, plain upstreams and platform.
     pub site: Site,
     /// The instances.
     pub members: Vec<Member>,
-    /// Someone who sends requests.
+    /// A caller for the test's requests.
     pub caller: Caller,
     test: &'static str,
 }
 
 impl Fleet {
-    /// Starts a site and two instances that know of each other, one of which holds the pool.
+    /// Starts a site and two instances, and waits until they know each other and one holds the pool.
     pub async fn start(test: &'static str, options: &SiteOptions) -> Self {
         let site = Site::start(options).await.expect("the site starts");
         let caller = Caller::try_new().expect("a caller");
@@ -118,7 +122,7 @@
         fleet
     }
 
-    /// Starts the process of an instance, which need not become ready.
+    /// Starts the process of an instance without waiting for its readiness.
     pub async fn spawn(&self, index: usize) -> Member {
         let platform = self.site.platform.for_caller(&format!("entry-{index}"));
         let server = PlatformServer::start(ANY_PORT, platform.clone()).await.expect("a platform");
@@ -136,7 +140,7 @@
         Member { daemon, platform, api, _server: server }
     }
 
-    /// Returns the number of the instance that holds the pool.
+    /// Returns the index of the instance that holds the pool.
     pub async fn holder(&self) -> usize {
         let lease = self.members[0].lease().await.expect("the lease can be read");
         let holder = lease.holder.expect("the pool is held");
@@ -170,7 +174,8 @@
         .await;
     }
 
-    /// Asks an instance a question and returns whether the whole and right answer came.
+    /// Sends a chat request to an instance. Returns its outcome as an error unless the answer is complete
+    /// and correct.
     pub async fn answers_chat(&self, member: &Member, prompt: &str) -> Result<(), Outcome> {
         let deadline = Millis::from_secs(20);
         let prompt = prompt.to_owned();
@@ -189,29 +194,29 @@
     ModelRef { model: name("standin"), version }
 }
 
-/// Returns the order to load a version.
+/// Returns the order to load a version of the site's model.
 pub fn load(version: u64) -> Order {
     Order::LoadModel { model: model(version) }
 }
 
-/// Returns the body of a change that replaces a resource by another spec.
-pub fn replacing(standing: &Resource, spec: &Spec) -> PutBody {
+/// Returns the body of a change that replaces the spec of a resource.
+pub fn replacing(current: &Resource, spec: &Spec) -> PutBody {
     let mut value = serde_json::to_value(spec).expect("a spec can be written");
     let spec = value["spec"].take();
-    PutBody { kind: None, name: None, version: Some(standing.version), spec, status: None }
+    PutBody { kind: None, name: None, version: Some(current.version), spec, status: None }
 }
 
-/// Checks an engine's log: no order came amid another that is still carried out, none had an effect
-/// after one of a later stamp, none cut a request.
+/// Checks the log of an engine: no order arrived while another was running, none took effect after an
+/// order with a later stamp, and none interrupted a request.
 pub fn check_orders(engine: usize, log: &[OrderRecord], case: &str) {
     let mut last = Stamp::default();
     let mut runs_until = Millis::ZERO;
     for record in log.iter().filter(|record| !matches!(record.reply, OrderReply::Fenced { .. })) {
         let case = format!("{case}, engine {engine}");
-        assert_eq!(record.reply, OrderReply::Accepted, "{case}: {record:?} came amid another");
-        assert!(record.at >= runs_until, "{case}: {record:?} came amid another");
-        assert!(record.order.stamp > last, "{case}: {record:?} had an effect after {last:?}");
-        assert!(record.cut.is_empty(), "{case}: {record:?} cut requests");
+        assert_eq!(record.reply, OrderReply::Accepted, "{case}: {record:?} was not accepted");
+        assert!(record.at >= runs_until, "{case}: {record:?} arrived while another was running");
+        assert!(record.order.stamp > last, "{case}: {record:?} took effect after {last:?}");
+        assert!(record.cut.is_empty(), "{case}: {record:?} interrupted requests");
         last = record.order.stamp;
         runs_until = match record.end {
             Some(anvilhook_standin::engines::OrderEnd::Done { at }) => at,
--- a/crates/anvilhook-daemon/tests/processes/mod.rs
+++ b/crates/anvilhook-daemon/tests/processes/mod.rs
@@ -13,18 +13,18 @@
 use http::{Request, StatusCode};
 use volo_http::body::Body;
 
-/// How long one call of a probe may take.
+/// The time limit of one probe call.
 const PROBE_TIMEOUT: Millis = Millis::from_secs(5);
 
-/// The pause between two looks at something that is being waited for.
-pub const LOOK_AGAIN: Millis = Millis(5);
+/// The time between two checks of an awaited condition.
+pub const POLL_INTERVAL: Millis = Millis(5);
 
-/// `KilledOnDrop` is a child process that does not outlive its handle, whatever panics.
+/// `KilledOnDrop` is a child process that is killed when its handle is dropped, also by a panic.
 struct KilledOnDrop(Child);
 
 impl Drop for KilledOnDrop {
     fn drop(&mut self) {
-        // A process that has ended by itself cannot be killed, which is well.
+        // Killing a process that has already terminated fails, which is harmless.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
@@ -37,7 +37,7 @@
 }
 
 impl DaemonProcess {
-    /// Starts the daemon before a site and waits until it is ready.
+    /// Starts the daemon with the settings of a site and waits until it is ready.
     pub async fn start(site: &Site, test: &str) -> Self {
         let daemon = Self::spawn(&site.settings_text(0), test);
         daemon.wait_for_readiness(StatusCode::OK).await;
@@ -61,17 +61,17 @@
         Self { child, announcement }
     }
 
-    /// Returns what the process announced when it listened.
+    /// Returns the announcement that the process printed when it began to listen.
     pub fn announcement(&self) -> &Announcement {
         &self.announcement
     }
 
-    /// Returns where callers are served.
+    /// Returns the address at which callers are served.
     pub fn callers(&self) -> SocketAddr {
         self.announcement.addresses.callers
     }
 
-    /// Asks a path of the operators' front.
+    /// Requests a path from the operators' address.
     pub async fn probe(&self, path: &'static str) -> (StatusCode, String) {
         let client = HttpClient::try_new(&ClientOptions::default()).expect("a client");
         let req = Request::get(path).body(Body::empty()).expect("a request");
@@ -84,10 +84,10 @@
         (status, String::from_utf8_lossy(&body).into_owned())
     }
 
-    /// Waits until `/readyz` answers with a status.
+    /// Waits until `/readyz` answers with the given status.
     pub async fn wait_for_readiness(&self, status: StatusCode) {
         while self.probe("/readyz").await.0 != status {
-            tokio::time::sleep(LOOK_AGAIN.as_duration()).await;
+            tokio::time::sleep(POLL_INTERVAL.as_duration()).await;
         }
     }
 
@@ -96,20 +96,20 @@
         self.signal("TERM");
     }
 
-    /// Sends a signal by its name, such as `STOP`.
+    /// Sends the signal of the given name, such as `STOP`.
     pub fn signal(&self, name: &str) {
         let pid = self.child.0.id().to_string();
         let sent = Command::new("kill").args(["-s", name, &pid]).status().expect("kill can be run");
         assert!(sent.success());
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process terminates by itself.
     pub async fn ended(&mut self) -> ExitStatus {
         loop {
-            if let Some(status) = self.child.0.try_wait().expect("the process can be asked") {
+            if let Some(status) = self.child.0.try_wait().expect("the process status can be read") {
                 return status;
             }
-            tokio::time::sleep(LOOK_AGAIN.as_duration()).await;
+            tokio::time::sleep(POLL_INTERVAL.as_duration()).await;
         }
     }
 }
--- a/crates/anvilhook-daemon/tests/proxy_claims.rs
+++ b/crates/anvilhook-daemon/tests/proxy_claims.rs
@@ -1,4 +1,5 @@
-//! A keyed request that may not be repeated runs at most once, whichever instances it reaches.
+//! Tests that a keyed request that must not be repeated runs at most once, whichever instances receive
+//! it.
 
 #[allow(dead_code, reason = "each test file uses a part of the fixtures")]
 mod support;
@@ -48,7 +49,7 @@
     let fronts = [start("entry-1", 1).await, start("entry-2", 2).await];
     let site = Site { platform, ledger, fronts };
 
-    // The first claim of each instance also learns the present epoch.
+    // The first claim of each instance also reads the current epoch.
     for instance in 0..2 {
         let headers = [("idempotency-key", WARM)];
         site.fronts[instance].ask("POST", PATH, &headers, WARM).await;
@@ -58,16 +59,16 @@
 }
 
 impl Site {
-    /// Sends a record to an instance, and returns what the caller was told.
+    /// Sends a record to an instance and returns the caller's outcome.
     async fn send(&self, instance: usize, body: &str) -> String {
         let headers = [("idempotency-key", KEY)];
-        let told = self.fronts[instance].ask("POST", PATH, &headers, body).await;
-        let replayed = told.headers.contains_key("x-anvilhook-replayed");
-        match told.outcome().as_str() {
+        let answer = self.fronts[instance].ask("POST", PATH, &headers, body).await;
+        let replayed = answer.headers.contains_key("x-anvilhook-replayed");
+        match answer.outcome().as_str() {
             "answered" if replayed => "replayed".to_owned(),
             "answered" => "answered".to_owned(),
             verdict => {
-                let body: serde_json::Value = serde_json::from_str(&told.body).expect("JSON");
+                let body: serde_json::Value = serde_json::from_str(&answer.body).expect("JSON");
                 format!("{} {verdict}", body["error"]["code"].as_str().expect("a code"))
             }
         }
@@ -84,31 +85,45 @@
     }
 }
 
-/// Symptom: a record is entered twice, or a caller is told "not run" of one that was entered.
-/// Sequence: a caller repeats a keyed request at another instance after the first was answered,
-/// failed, was refused, or met a table that was down or lost an answer.
-/// Cause: a request sent without a claim that is known to stand, or a claim freed too early.
+/// Guards against a record that is entered twice, or reported as "not run" although it was entered: a
+/// caller repeats a keyed request at another instance after the first attempt was answered, failed, was
+/// refused, or found the table down or its answer lost. The request was sent before its claim was known
+/// to be stored, or the claim was released too early.
 #[tokio::test]
 async fn verify_repeats_at_another_instance() {
     type Prepare = fn(&Site);
     let table_down: Prepare = |site| site.platform.faults().set_reach(Reach::Refusing);
     let claim_lost: Prepare = |site| site.platform.faults().lose_next_writes(1, Loss::AfterEffect);
-    let table_cut: Prepare = |site| site.platform.faults().set_reach(Reach::Cut);
+    let table_partitioned: Prepare = |site| site.platform.faults().set_reach(Reach::Cut);
     let claim_late: Prepare = |site| site.platform.faults().lose_next_writes(9, Loss::LateEffect);
-    let breaks: Prepare = |site| site.fault(Some(Fault::ResetBeforeFirstByte));
+    let resets: Prepare = |site| site.fault(Some(Fault::ResetBeforeFirstByte));
     let refuses: Prepare = |site| site.fault(Some(Fault::OwnRefusal));
-    let well: Prepare = |_| {};
+    let healthy: Prepare = |_| {};
     let cases = [
-        ("well", well, RECORD, "answered", "replayed", 1),
-        ("other body", well, "{}", "answered", "key-reused not-run", 1),
+        ("healthy", healthy, RECORD, "answered", "replayed", 1),
+        ("other body", healthy, "{}", "answered", "key-reused not-run", 1),
         ("table down", table_down, RECORD, "claims-unavailable not-run", "answered", 1),
-        ("table cut off", table_cut, RECORD, "claims-unavailable not-run", "answered", 1),
-        ("claim lands late", claim_late, RECORD, "claims-unavailable not-run", "answered", 1),
-        ("claim's answer lost", claim_lost, RECORD, "answered", "replayed", 1),
-        ("breaks", breaks, RECORD, "upstream-failed may-have-run", "key-in-flight may-have-run", 1),
-        ("refuses", refuses, RECORD, "upstream-refused not-run", "answered", 1),
+        (
+            "table partitioned",
+            table_partitioned,
+            RECORD,
+            "claims-unavailable not-run",
+            "answered",
+            1,
+        ),
+        ("claim written late", claim_late, RECORD, "claims-unavailable not-run", "answered", 1),
+        ("answer to the claim lost", claim_lost, RECORD, "answered", "replayed", 1),
+        (
+            "upstream resets",
+            resets,
+            RECORD,
+            "upstream-failed may-have-run",
+            "key-in-flight may-have-run",
+            1,
+        ),
+        ("upstream refuses", refuses, RECORD, "upstream-refused not-run", "answered", 1),
     ];
-    for (case, prepare, repeat, first_told, repeat_told, runs) in cases {
+    for (case, prepare, repeat, first_expected, repeat_expected, runs) in cases {
         let site = site().await;
         prepare(&site);
 
@@ -118,36 +133,34 @@
         let second = site.send(1, repeat).await;
         site.platform.land_late_writes();
 
-        assert_eq!((first.as_str(), second.as_str()), (first_told, repeat_told), "{case}");
+        assert_eq!((first.as_str(), second.as_str()), (first_expected, repeat_expected), "{case}");
         assert_eq!(site.runs(), runs, "{case}");
     }
 }
 
-/// Symptom: two instances enter one record.
-/// Sequence: a caller that has lost patience sends its request to a second instance while the
-/// first one is still at it.
-/// Cause: two claims of one key, both taken for good.
+/// Guards against two instances that enter the same record: a caller sends its request to a second
+/// instance while the first one still processes it, and both instances' claims of the key are accepted.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn verify_two_instances_race_one_key() {
     for _ in 0..20 {
         let site = site().await;
 
-        let told = tokio::join!(site.send(0, RECORD), site.send(1, RECORD));
+        let outcomes = tokio::join!(site.send(0, RECORD), site.send(1, RECORD));
 
-        assert_eq!(site.runs(), 1, "{told:?}");
-        let answered = [&told.0, &told.1].into_iter().filter(|told| *told == "answered").count();
-        assert_eq!(answered, 1, "{told:?}");
-        for told in [&told.0, &told.1] {
+        assert_eq!(site.runs(), 1, "{outcomes:?}");
+        let answered =
+            [&outcomes.0, &outcomes.1].into_iter().filter(|outcome| *outcome == "answered").count();
+        assert_eq!(answered, 1, "{outcomes:?}");
+        for outcome in [&outcomes.0, &outcomes.1] {
             let allowed = ["answered", "replayed", "key-in-flight may-have-run"];
-            assert!(allowed.contains(&told.as_str()), "{told}");
+            assert!(allowed.contains(&outcome.as_str()), "{outcome}");
         }
     }
 }
 
-/// Symptom: a record is entered twice.
-/// Sequence: an instance is killed, or paused, between its claim and the sending of the request;
-/// the caller repeats it elsewhere.
-/// Cause: a claim without an outcome taken for one that never ran.
+/// Guards against a record that is entered twice: an instance is killed or paused between its claim and
+/// sending the request, and the caller repeats the request at another instance, which assumes that a
+/// claim without an outcome never ran.
 #[tokio::test]
 async fn verify_an_instance_killed_after_its_claim() {
     let site = site().await;
@@ -162,8 +175,8 @@
     let killed = claims(&site.platform, "entry-0").claim(&req).await;
     assert!(matches!(killed, ClaimOutcome::Won(_)), "{killed:?}");
 
-    let told = site.send(0, RECORD).await;
+    let outcome = site.send(0, RECORD).await;
 
-    assert_eq!(told, "key-in-flight may-have-run");
+    assert_eq!(outcome, "key-in-flight may-have-run");
     assert_eq!(site.runs(), 0);
 }
--- a/crates/anvilhook-daemon/tests/proxy_faults.rs
+++ b/crates/anvilhook-daemon/tests/proxy_faults.rs
@@ -1,5 +1,5 @@
-//! The verdict that a caller hears is true under every fault of an upstream, and nothing that may
-//! not be repeated runs twice.
+//! Tests that a caller receives a correct verdict under every fault of an upstream, and that a call that
+//! must not be repeated never runs twice.
 
 #[allow(dead_code, reason = "each test file uses a part of the fixtures")]
 mod support;
@@ -12,21 +12,21 @@
 use anvilhook_daemon::front::FrontOptions;
 use anvilhook_daemon::proxy::{NoClaims, ProxyOptions};
 use support::fakes::{self, EVENTS, Fault, Ledger, SharedLedger};
-use support::fronts::{self, FrontUnderTest, PATIENCE, chat_body, configuration};
+use support::fronts::{self, FrontUnderTest, TEST_TIMEOUT, chat_body, configuration};
 
 const RECORD: &str = "{\"lot\":7}";
 const UNBOUNDED: (u32, u32) = (100_000, 100_000);
 
-/// `Ask` is one way to ask for an answer.
+/// `Ask` is a kind of request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 enum Ask {
     /// A plain call that may be repeated.
     Idempotent,
-    /// A plain call that may not.
+    /// A plain call that must not be repeated.
     NonIdempotent,
-    /// A chat completion, answered whole.
+    /// A chat completion with a single answer.
     Chat,
-    /// A chat completion, answered by a stream.
+    /// A chat completion with a streamed answer.
     Streamed,
 }
 
@@ -47,8 +47,8 @@
     configuration(&addresses, |spec| shorten(spec, fault), UNBOUNDED)
 }
 
-/// Shortens the limits that a silent upstream is waited for, so that all attempts fit into the caller's
-/// patience. What is well has several seconds for its answer all the same.
+/// Shortens the time limits for an upstream that stops responding, so that all attempts fit into the
+/// caller's wait limit. A healthy upstream still has several seconds for its answer.
 fn shorten(spec: &mut ServiceSpec, fault: Fault) {
     const SHORT: Millis = Millis(4_000);
     if matches!(fault, Fault::SilentBeforeHead | Fault::SilentWithinBody | Fault::SilentConnection)
@@ -58,16 +58,16 @@
     }
 }
 
-/// Asks once, and returns what the caller was told and how often the request ran.
+/// Sends one request, and returns the caller's outcome and the number of runs.
 async fn ask(front: &FrontUnderTest<NoClaims>, ledger: &SharedLedger, ask: Ask) -> (String, u32) {
     let (outcome, body) = match ask {
         Ask::Idempotent => {
-            let told = front.ask("PUT", "/services/ledger/records/7", &[], RECORD).await;
-            (told.outcome(), RECORD.to_owned())
+            let answer = front.ask("PUT", "/services/ledger/records/7", &[], RECORD).await;
+            (answer.outcome(), RECORD.to_owned())
         }
         Ask::NonIdempotent => {
-            let told = front.ask("POST", "/services/ledger/records", &[], RECORD).await;
-            (told.outcome(), RECORD.to_owned())
+            let answer = front.ask("POST", "/services/ledger/records", &[], RECORD).await;
+            (answer.outcome(), RECORD.to_owned())
         }
         Ask::Chat => {
             let body = chat_body("which lot?", false);
@@ -77,7 +77,7 @@
             let body = chat_body("which lot?", true);
             let (numbers, outcome) = front.ask_streamed(&body).await;
             let in_order: Vec<u64> = (1..=numbers.len() as u64).collect();
-            assert_eq!(numbers, in_order, "each event once and in order");
+            assert_eq!(numbers, in_order, "each event arrives once and in order");
             if outcome == "answered" {
                 assert_eq!(numbers.len() as u64, EVENTS, "a whole stream");
             }
@@ -88,27 +88,26 @@
     (outcome, runs)
 }
 
-/// Uses a connection to each upstream once, so that the next request finds an idle one.
+/// Sends requests to each upstream, so that the next request finds an idle connection.
 async fn warm(front: &FrontUnderTest<NoClaims>, ledger: &SharedLedger) {
     let faults = std::mem::take(&mut ledger.lock().expect("a ledger").faults);
     for i in 0..8 {
-        let told = front.ask("PUT", "/services/ledger/records/0", &[], &format!("{i}")).await;
-        assert_eq!(told.outcome(), "answered");
+        let answer = front.ask("PUT", "/services/ledger/records/0", &[], &format!("{i}")).await;
+        assert_eq!(answer.outcome(), "answered");
     }
     ledger.lock().expect("a ledger").faults = faults;
 }
 
-/// Symptom: a record is entered twice, or a caller is told "not run" of one that was entered.
-/// Sequence: an upstream fails at some byte of a request or its answer; the caller or the system
-/// sends the request again.
-/// Cause: a verdict that claims more than can be known, or a retry that the verdict forbids.
+/// Guards against a record that is entered twice, or reported as "not run" although it was entered: an
+/// upstream fails at any byte of a request or its answer, and the caller or the system sends the request
+/// again. The verdict claims more than can be known, or a retry violates the verdict.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn verify_verdicts_under_every_fault() {
     const A: &str = "answered";
     const M: &str = "may-have-run";
     const N: &str = "not-run";
-    // For each fault, the outcomes of the four ways to ask: under one such fault with a second
-    // upstream well, and under a fault that never ends.
+    // For each fault, the outcomes of the four kinds of request: with one such fault and a healthy second
+    // upstream, and with a fault that is repeated without end.
     let table = [
         (Fault::None, [A, A, A, A], [A, A, A, A]),
         (Fault::ConnectRefused, [A, A, A, A], [N, N, N, N]),
@@ -140,7 +139,7 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Returns what does not hold of one case.
+/// Checks one case, and returns the rule that it violates as an error.
 async fn check(fault: Fault, way: Ask, repeats: bool, expected: &str) -> Result<(), String> {
     let ledger = ledger(&[fault], repeats);
     let cfg = configured(&ledger, fault, repeats).await;
@@ -153,10 +152,10 @@
 
     let may_repeat = way != Ask::NonIdempotent;
     let rules = [
-        (outcome == expected, "another outcome"),
+        (outcome == expected, "unexpected outcome"),
         (outcome != "not-run" || runs == 0, "a false \"not run\""),
-        (runs <= 1 || may_repeat, "doubled"),
-        (runs >= 1 || outcome != "answered", "an answer to nothing"),
+        (runs <= 1 || may_repeat, "ran more than once"),
+        (runs >= 1 || outcome != "answered", "an answer without a run"),
     ];
     let broken = rules.iter().find(|(holds, _)| !holds).map(|(_, rule)| rule);
     match broken {
@@ -168,11 +167,11 @@
     }
 }
 
-/// Symptom: a caller gets the answer to an earlier request.
-/// Sequence: an upstream answers twice on one connection, which is then used for the next request.
-/// Cause: the late answer taken for the answer to the next request, without looking at the echo.
+/// Guards against a caller that receives the answer to an earlier request: an upstream answers twice on
+/// one connection, and the second copy is used as the answer to the next request on that connection
+/// without a check of the echoed attempt id.
 #[tokio::test]
-async fn verify_a_second_answer_meets_no_other_request() {
+async fn verify_a_second_answer_reaches_no_other_request() {
     let ledger = ledger(&[Fault::Duplicate], true);
     let address = fakes::start(&ledger).await;
     let cfg = configuration(&[address], |_| {}, UNBOUNDED);
@@ -180,11 +179,11 @@
 
     for i in 0..20 {
         let body = format!("{{\"record\":{i}}}");
-        let told = front.ask("POST", "/services/ledger/records", &[], &body).await;
+        let answer = front.ask("POST", "/services/ledger/records", &[], &body).await;
 
         let runs = ledger.lock().expect("a ledger").runs.get(&body).copied().unwrap_or(0);
-        match told.outcome().as_str() {
-            "answered" => assert!(told.body.contains(&format!("record\\\":{i}")), "{told:?}"),
+        match answer.outcome().as_str() {
+            "answered" => assert!(answer.body.contains(&format!("record\\\":{i}")), "{answer:?}"),
             "may-have-run" => assert!(runs <= 1),
             "not-run" => assert_eq!(runs, 0),
             other => panic!("unknown outcome {other}"),
@@ -192,11 +191,10 @@
     }
 }
 
-/// Symptom: an engine generates answers that nobody reads.
-/// Sequence: a caller closes its connection while its stream is open.
-/// Cause: the stream's task not told of it.
+/// Guards against an engine that generates output which no caller reads: a caller closes its connection
+/// while its stream is open, and the task of the stream is not notified.
 #[tokio::test]
-async fn verify_a_caller_that_goes_away_cancels_its_engine() {
+async fn verify_a_disconnected_caller_cancels_its_engine_work() {
     let ledger = ledger(&[], false);
     ledger.lock().expect("a ledger").endless = true;
     let address = fakes::start(&ledger).await;
@@ -216,15 +214,14 @@
             tokio::task::yield_now().await;
         }
     };
-    let ended = tokio::time::timeout(PATIENCE.as_duration(), all_ended).await;
+    let ended = tokio::time::timeout(TEST_TIMEOUT.as_duration(), all_ended).await;
     assert!(ended.is_ok(), "the engine's work was not cancelled");
     assert_eq!(ledger.lock().expect("a ledger").cancels, 1);
 }
 
-/// Symptom: a request fails although an upstream is well.
-/// Sequence: something between the two ends forgets all idle connections; a request goes out on
-/// one of them, and its retry on another.
-/// Cause: a retry over a pooled connection, which may be as silent as the first.
+/// Guards against a request that fails although an upstream is healthy: a device on the network path
+/// drops the state of all idle connections, a request is sent on one of them, and its retry on another
+/// pooled connection, which does not respond either.
 #[tokio::test]
 async fn verify_a_retry_uses_a_new_connection() {
     let ledger = ledger(&[Fault::SilentConnection], true);
@@ -239,10 +236,9 @@
     assert_eq!(outcome, "answered");
 }
 
-/// Symptom: a stream holds its engine's place long after its caller needs it.
-/// Sequence: an engine goes on without an end, within the time between events, or the caller stays
-/// connected and reads nothing.
-/// Cause: a stream bounded by the time between events alone.
+/// Guards against a stream that occupies its engine's slot long after its caller needs it: an engine
+/// streams without end within the time limit between events, or the caller stays connected and does not
+/// read. The time limit between events alone does not end the stream.
 #[tokio::test]
 async fn verify_a_stream_ends_at_its_deadline() {
     for reads in [true, false] {
@@ -250,7 +246,7 @@
         ledger.lock().expect("a ledger").endless = true;
         let address = fakes::start(&ledger).await;
         let edit = |spec: &mut ServiceSpec| {
-            spec.between_events_ms = PATIENCE;
+            spec.between_events_ms = TEST_TIMEOUT;
             spec.deadline_ms = Millis(3_000);
         };
         let cfg = configuration(&[address], edit, UNBOUNDED);
@@ -265,8 +261,8 @@
             Some(front.send("POST", "/v1/chat/completions", &[], &body).await)
         };
 
-        let idle = tokio::time::timeout(PATIENCE.as_duration(), front.front.idle()).await;
-        assert!(idle.is_ok(), "the stream stays counted in; reads: {reads}");
+        let idle = tokio::time::timeout(TEST_TIMEOUT.as_duration(), front.front.idle()).await;
+        assert!(idle.is_ok(), "the stream still counts as in flight; reads: {reads}");
         drop(unread);
     }
 }
--- a/crates/anvilhook-daemon/tests/proxy_splits.rs
+++ b/crates/anvilhook-daemon/tests/proxy_splits.rs
@@ -1,5 +1,5 @@
-//! Requests that two engines share: whole answers, true verdicts and counts under every fault of a
-//! part, on the stand-in engines.
+//! Tests of requests that are split between two engines: complete answers, correct verdicts and correct
+//! counts under every fault of one part, on the stand-in engines.
 
 #[allow(dead_code, reason = "each test file uses a part of the fixtures")]
 mod support;
@@ -21,40 +21,40 @@
 };
 use anvilhook_standin::faults::{Fault, FaultPlan};
 use http::{Request, StatusCode};
-use support::fronts::{self, FrontUnderTest, PATIENCE, chat_body, configuration};
+use support::fronts::{self, FrontUnderTest, TEST_TIMEOUT, chat_body, configuration};
 use volo_http::body::Body;
 
 const PROMPT: &str = "Lot 7, a walnut bureau: which century?";
-/// The stand-in's output where the request names no length.
+/// The length of the stand-in's output if the request names none.
 const OUTPUT: Tokens = Tokens(64);
-/// What the instance believes: two engines read, two generate.
-const BELIEVED: [Role; 4] = [Role::Prefill, Role::Prefill, Role::Decode, Role::Decode];
+/// The roles in the cached state of the instance: two engines read (prefill), two generate (decode).
+const CACHED_ROLES: [Role; 4] = [Role::Prefill, Role::Prefill, Role::Decode, Role::Decode];
 const READERS: [usize; 2] = [0, 1];
-const WRITERS: [usize; 2] = [2, 3];
+const GENERATORS: [usize; 2] = [2, 3];
 
-/// `Trouble` is what is wrong with an engine.
+/// `EngineFault` is the fault of an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
-enum Trouble {
+enum EngineFault {
     None,
-    /// Its process has ended.
+    /// Its process has terminated.
     Dead,
-    /// Its completions run and are reset before their answers' first byte.
+    /// It runs completions, but resets their connections before the first byte of the answer.
     Resets,
-    /// It refuses completions before running.
+    /// It refuses completions before running them.
     Refuses,
-    /// Its role is another than its last report says.
+    /// Its role differs from the role in its last report.
     OtherRole,
-    /// KV caches are gone from it when they are fetched.
+    /// It has lost the KV caches when they are fetched.
     KvGone,
-    /// It ends the connection of whoever has it pull.
+    /// It closes the connection of a caller that requests it to pull a KV cache.
     PullBroken,
 }
 
-async fn engines(trouble: Trouble, at: &[usize]) -> Vec<EngineServer> {
+async fn engines(fault: EngineFault, at: &[usize]) -> Vec<EngineServer> {
     let mut engines = Vec::new();
-    for (index, believed) in BELIEVED.into_iter().enumerate() {
-        let troubled = at.contains(&index);
-        let role = match (troubled && trouble == Trouble::OtherRole, believed) {
+    for (index, cached_role) in CACHED_ROLES.into_iter().enumerate() {
+        let is_faulty = at.contains(&index);
+        let role = match (is_faulty && fault == EngineFault::OtherRole, cached_role) {
             (true, Role::Prefill) => Role::Decode,
             (true, _) => Role::Prefill,
             (false, role) => role,
@@ -62,16 +62,18 @@
         let engine = EngineOptions { role, ..EngineOptions::default().faster(50.0) };
         let opts = EngineServerOptions { engine, ..Default::default() };
         let server = EngineServer::start(opts).await.expect("a free port");
-        match trouble {
-            _ if !troubled => {}
-            Trouble::None | Trouble::OtherRole => {}
-            Trouble::Dead => server.crash().await,
-            Trouble::Resets => {
+        match fault {
+            _ if !is_faulty => {}
+            EngineFault::None | EngineFault::OtherRole => {}
+            EngineFault::Dead => server.crash().await,
+            EngineFault::Resets => {
                 server.front().switches().always(Some(Fault::ResetBeforeFirstByte.into()))
             }
-            Trouble::Refuses => server.front().switches().always(Some(Fault::OwnRefusal.into())),
-            Trouble::KvGone => server.set_loses_kv(true),
-            Trouble::PullBroken => {
+            EngineFault::Refuses => {
+                server.front().switches().always(Some(Fault::OwnRefusal.into()))
+            }
+            EngineFault::KvGone => server.set_loses_kv(true),
+            EngineFault::PullBroken => {
                 server
                     .pulls()
                     .always(Some(FaultPlan::from(Fault::CloseWithoutAnswer).before_run()));
@@ -84,11 +86,11 @@
 
 fn configured(engines: &[EngineServer]) -> Configuration {
     let addresses: Vec<_> = engines.iter().map(EngineServer::address).collect();
-    // No case waits for a timeout, so these may be generous.
+    // No case waits for a timeout, so these limits can be long.
     let edit = |spec: &mut anvilhook_core::resources::ServiceSpec| {
-        spec.deadline_ms = PATIENCE;
-        spec.first_byte_ms = Millis(PATIENCE.0 / 2);
-        spec.between_events_ms = Millis(PATIENCE.0 / 2);
+        spec.deadline_ms = TEST_TIMEOUT;
+        spec.first_byte_ms = Millis(TEST_TIMEOUT.0 / 2);
+        spec.between_events_ms = Millis(TEST_TIMEOUT.0 / 2);
         spec.max_answer_bytes = 1_000_000;
     };
     configuration(&addresses, edit, (100_000, 100_000))
@@ -96,7 +98,7 @@
 
 async fn start(engines: &[EngineServer]) -> FrontUnderTest<NoClaims> {
     let front = fronts::start(&configured(engines), FrontOptions::default(), NoClaims).await;
-    for (index, role) in BELIEVED.into_iter().enumerate() {
+    for (index, role) in CACHED_ROLES.into_iter().enumerate() {
         front.front.state().upstreams()[&engine_name(index)].set_role(role);
     }
     front
@@ -106,15 +108,16 @@
     format!("e{index}").parse().expect("a name")
 }
 
-/// Waits until the instance counts nothing in at any engine.
+/// Waits until the instance counts no request in flight at any engine. Returns false on a timeout.
 async fn wait_until_idle(front: &FrontUnderTest<NoClaims>) -> bool {
-    let in_flight = || (0..BELIEVED.len()).any(|i| front.front.in_flight_at(&engine_name(i)) > 0);
+    let in_flight =
+        || (0..CACHED_ROLES.len()).any(|i| front.front.in_flight_at(&engine_name(i)) > 0);
     let idle = async {
         while in_flight() {
             tokio::task::yield_now().await;
         }
     };
-    tokio::time::timeout(PATIENCE.as_duration(), idle).await.is_ok()
+    tokio::time::timeout(TEST_TIMEOUT.as_duration(), idle).await.is_ok()
 }
 
 fn ended(engine: &EngineServer, how: AttemptEnd) -> HashSet<AttemptId> {
@@ -122,57 +125,60 @@
     attempts.filter(|it| it.end.is_some_and(|(end, _)| end == how)).map(|it| it.attempt).collect()
 }
 
-/// Asks once and returns the outcome, and whether an answer was the whole right one.
+/// Sends one request, and returns its outcome and whether the answer was complete and correct.
 async fn ask(front: &FrontUnderTest<NoClaims>, stream: bool) -> (String, bool) {
     let body = chat_body(PROMPT, stream);
     if stream {
         let (numbers, outcome) = front.ask_streamed(&body).await;
         return (outcome, numbers == (1..=OUTPUT.0).collect::<Vec<u64>>());
     }
-    let told = front.ask("POST", "/v1/chat/completions", &[], &body).await;
+    let answer = front.ask("POST", "/v1/chat/completions", &[], &body).await;
     let message = ChatMessage { role: "user".to_owned(), content: PROMPT.to_owned() };
-    (told.outcome(), told.body.contains(&expected_output(&[message], OUTPUT)))
+    (answer.outcome(), answer.body.contains(&expected_output(&[message], OUTPUT)))
 }
 
-/// Symptom: a caller gets a part of an answer, or hears "not run" of a request whose prompt was
-/// read, or an engine that is being drained still has a request.
-/// Sequence: one of the two engines that share a request dies, refuses, has lost the KV cache, or
-/// has another role than its last report says.
-/// Cause: the failure of one part taken for that of the whole request, or one of the two counts
-/// forgotten.
+/// Guards against a caller that receives a partial answer, or "not run" for a request whose prompt was
+/// read, and against a request that remains at a drained engine: one of the two engines of a split
+/// request terminates, refuses, has lost the KV cache, or has another role than in its last report. The
+/// failure of one part is treated as that of the whole request, or one of the two counts is missing.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn verify_every_fault_of_a_part() {
     const A: &str = "answered";
     const M: &str = "may-have-run";
     const N: &str = "not-run";
-    // The outcomes where one engine has the trouble, and where both of its kind have.
+    // The outcomes if one engine of the kind has the fault, and if both have it.
     let table = [
-        (Trouble::None, READERS, [A, A]),
-        (Trouble::Dead, READERS, [A, N]),
-        (Trouble::Resets, READERS, [A, M]),
-        (Trouble::Refuses, READERS, [A, N]),
-        (Trouble::OtherRole, READERS, [A, N]),
-        (Trouble::KvGone, READERS, [A, M]),
-        (Trouble::PullBroken, WRITERS, [A, M]),
-        (Trouble::Dead, WRITERS, [A, M]),
-        (Trouble::Resets, WRITERS, [A, M]),
-        (Trouble::Refuses, WRITERS, [A, M]),
-        (Trouble::OtherRole, WRITERS, [A, M]),
+        (EngineFault::None, READERS, [A, A]),
+        (EngineFault::Dead, READERS, [A, N]),
+        (EngineFault::Resets, READERS, [A, M]),
+        (EngineFault::Refuses, READERS, [A, N]),
+        (EngineFault::OtherRole, READERS, [A, N]),
+        (EngineFault::KvGone, READERS, [A, M]),
+        (EngineFault::PullBroken, GENERATORS, [A, M]),
+        (EngineFault::Dead, GENERATORS, [A, M]),
+        (EngineFault::Resets, GENERATORS, [A, M]),
+        (EngineFault::Refuses, GENERATORS, [A, M]),
+        (EngineFault::OtherRole, GENERATORS, [A, M]),
     ];
     let mut failures = Vec::new();
-    for (trouble, kind, [one, both]) in table {
+    for (fault, kind, [one, both]) in table {
         for stream in [false, true] {
             for (at, expected) in [(&kind[..1], one), (&kind[..], both)] {
-                failures.extend(check(trouble, at, stream, expected).await.err());
+                failures.extend(check(fault, at, stream, expected).await.err());
             }
         }
     }
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// Returns what does not hold of one case.
-async fn check(trouble: Trouble, at: &[usize], stream: bool, expected: &str) -> Result<(), String> {
-    let engines = engines(trouble, at).await;
+/// Checks one case, and returns the rule that it violates as an error.
+async fn check(
+    fault: EngineFault,
+    at: &[usize],
+    stream: bool,
+    expected: &str,
+) -> Result<(), String> {
+    let engines = engines(fault, at).await;
     let front = start(&engines).await;
 
     let (outcome, is_whole) = ask(&front, stream).await;
@@ -181,36 +187,35 @@
     let answered = outcome == "answered";
     let ran = engines.iter().any(|engine| engine.attempts().iter().any(|it| it.ran()));
     let of = |how| engines.iter().flat_map(move |engine| ended(engine, how)).collect();
-    let (read, written): (HashSet<_>, HashSet<_>) =
+    let (read, generated): (HashSet<_>, HashSet<_>) =
         (of(AttemptEnd::Prefilled), of(AttemptEnd::Finished));
     let rules = [
-        (outcome == expected, "another outcome"),
-        (answered == is_whole, "a part taken for the answer"),
+        (outcome == expected, "unexpected outcome"),
+        (answered == is_whole, "a partial answer counted as whole, or a whole one as failed"),
         (outcome != "not-run" || !ran, "a false \"not run\""),
-        (written.is_subset(&read), "generated what no other engine had read"),
-        (!answered || !written.is_empty(), "an answer to nothing"),
-        (written.len() <= 1 || trouble == Trouble::Resets, "generated twice"),
-        (is_idle, "still counted in"),
+        (generated.is_subset(&read), "generated output without another engine's prefill"),
+        (!answered || !generated.is_empty(), "an answer without a run"),
+        (generated.len() <= 1 || fault == EngineFault::Resets, "generated twice"),
+        (is_idle, "still counted as in flight"),
     ];
     let broken = rules.iter().find(|(holds, _)| !holds).map(|(_, rule)| rule);
     match broken {
         None => Ok(()),
         Some(rule) => Err(format!(
-            "{rule}: {trouble:?} at {at:?}, stream: {stream}: {outcome}, expected {expected}"
+            "{rule}: {fault:?} at {at:?}, stream: {stream}: {outcome}, expected {expected}"
         )),
     }
 }
 
-/// Symptom: an engine's role is changed while another fetches a KV cache from it, or an engine
-/// keeps the cache of a request whose caller has gone.
-/// Sequence: the caller goes while the cache moves from one engine to the other.
-/// Cause: the request counted in, or cancelled, at one of the two engines only.
+/// Guards against a role change of an engine from which another engine fetches a KV cache, and against a
+/// cache that is retained after its caller disconnected: the caller disconnects during the transfer of
+/// the cache, and the request is counted or cancelled at only one of the two engines.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_both_engines_hold_the_request_until_its_cancel() {
-    let engines = engines(Trouble::None, &[]).await;
-    for writer in WRITERS {
+    let engines = engines(EngineFault::None, &[]).await;
+    for generator in GENERATORS {
         let hang = FaultPlan::from(Fault::HangBeforeFirstByte).before_run();
-        engines[writer].pulls().always(Some(hang));
+        engines[generator].pulls().always(Some(hang));
     }
     let front = start(&engines).await;
     let held = |kind: [usize; 2]| -> u64 {
@@ -220,14 +225,14 @@
     let body = chat_body(PROMPT, false);
     let asking = front.ask("POST", "/v1/chat/completions", &[], &body);
     let moving = async {
-        while WRITERS.into_iter().all(|writer| engines[writer].pull_count() == 0) {
+        while GENERATORS.into_iter().all(|generator| engines[generator].pull_count() == 0) {
             tokio::task::yield_now().await;
         }
-        (held(READERS), held(WRITERS))
+        (held(READERS), held(GENERATORS))
     };
-    // The caller's connection is dropped with the call.
+    // Dropping the call closes the caller's connection.
     let both_held = tokio::select! {
-        told = asking => panic!("answered without a cache: {told:?}"),
+        answer = asking => panic!("answered without a cache: {answer:?}"),
         held = moving => held,
     };
     let is_idle = wait_until_idle(&front).await;
@@ -239,12 +244,12 @@
     assert_eq!(export(reader).await, StatusCode::NOT_FOUND, "its cache is freed");
 }
 
-/// Asks an engine for the KV cache of its only attempt.
+/// Requests the KV cache of an engine's only attempt.
 async fn export(engine: &EngineServer) -> StatusCode {
     let attempt = engine.attempts()[0].attempt.to_string();
     let req = Request::get(format!("{KV_PATH}/{attempt}")).header(ATTEMPT_HEADER, attempt);
     let req = req.body(Body::empty()).expect("a request");
     let client = HttpClient::try_new(&ClientOptions::default()).expect("a client");
-    let answer = client.send(engine.address(), req, Connection::New, PATIENCE).await;
+    let answer = client.send(engine.address(), req, Connection::New, TEST_TIMEOUT).await;
     answer.expect("an answer").status()
 }
--- a/crates/anvilhook-daemon/tests/role_planners.rs
+++ b/crates/anvilhook-daemon/tests/role_planners.rs
@@ -1,5 +1,6 @@
-//! Roles follow a mix that lasts, within what is declared, and a new holder starts from the roles
-//! that the engines have. Planners and the stand-in's state machines run on a manual clock.
+//! Tests that roles follow a lasting mix of work within the declared bounds, and that a new lease holder
+//! starts from the current roles of the engines. The planners and the stand-in's state machines run on a
+//! manual clock.
 
 use std::collections::BTreeSet;
 
@@ -16,10 +17,10 @@
 const ENGINES: usize = 8;
 const STEP: Millis = Millis::from_secs(1);
 const DWELL: Millis = Millis::from_secs(10);
-/// How long a drain takes before its order.
+/// How long an engine drains before its order is sent.
 const DRAIN: Millis = Millis::from_secs(3);
 
-/// Long prompts with long outputs that leave little time, as eight mixed engines can't carry.
+/// Long prompts with long outputs and tight deadlines: more work than eight mixed engines can serve.
 fn tight() -> ObservedWork {
     let tight = Flow { requests: 12.0, prefill: 24_000.0, prompt: 24_000.0, output: 3_600.0 };
     ObservedWork { tight, patient: Flow::default() }
@@ -49,20 +50,20 @@
     })
 }
 
-/// `World` is a pool with its holder.
-struct World {
+/// `Simulation` is a pool of stand-in engines and the role planners of its lease holder.
+struct Simulation {
     pool: PoolName,
     planners: RolePlanners,
     engines: Vec<(UpstreamName, EngineModel)>,
-    /// Since when an engine drains for its change.
+    /// The time at which each engine began to drain for a role change.
     draining: Vec<Option<Millis>>,
     now: Millis,
     seq: u64,
-    /// The most engines that were out of service at once.
-    most_changing: usize,
+    /// The largest number of engines that were out of service at once.
+    max_changing: usize,
 }
 
-impl World {
+impl Simulation {
     fn new() -> Self {
         let engine = |index| {
             let name: UpstreamName = format!("engine-{index}").parse().expect("a name");
@@ -75,11 +76,11 @@
             draining: vec![None; ENGINES],
             now: Millis::ZERO,
             seq: 0,
-            most_changing: 0,
+            max_changing: 0,
         }
     }
 
-    /// Runs for a while: plans, drains and orders.
+    /// Runs for a span: plans roles, drains engines and sends orders in each step.
     fn run(&mut self, declared: &PoolDeclaration, seen: &ObservedWork, span: Millis) {
         let until = self.now + span;
         while self.now < until {
@@ -87,11 +88,11 @@
             let engines = self.seen();
             self.planners.plan(&self.pool, declared, &engines, seen, self.now);
             let changing = (0..ENGINES).filter(|index| self.work(*index)).count();
-            self.most_changing = self.most_changing.max(changing);
+            self.max_changing = self.max_changing.max(changing);
         }
     }
 
-    /// Does for one engine what its keeper would. Returns whether it is out of service.
+    /// Does the work of the controller for one engine. Returns whether the engine is out of service.
     fn work(&mut self, index: usize) -> bool {
         let (name, engine) = &mut self.engines[index];
         let state = engine.state(self.now).expect("an engine that is up");
@@ -138,70 +139,69 @@
 }
 
 #[test]
-fn verify_roles_follow_a_mix_that_lasts_within_what_is_declared() {
-    let mut most_two = RoleBounds::default();
-    most_two.max.set(Role::Prefill, 2);
-    // The weight of a change, the bounds, and whether roles change.
+fn verify_roles_follow_a_lasting_mix_within_the_declared_bounds() {
+    let mut at_most_two = RoleBounds::default();
+    at_most_two.max.set(Role::Prefill, 2);
+    // The weight of a change, the bounds, and whether roles are expected to change.
     let table = [
         (0.1, RoleBounds::default(), true),
-        (0.1, most_two, true),
+        (0.1, at_most_two, true),
         (1_000.0, RoleBounds::default(), false),
     ];
     for (weight, bounds, changes) in table {
-        let mut world = World::new();
+        let mut simulation = Simulation::new();
         let declared = declared(weight, bounds);
 
-        world.run(&declared, &quick(), Millis::from_secs(20));
-        let before = world.roles();
-        world.run(&declared, &tight(), Millis::from_secs(120));
+        simulation.run(&declared, &quick(), Millis::from_secs(20));
+        let before = simulation.roles();
+        simulation.run(&declared, &tight(), Millis::from_secs(120));
 
-        let after = world.roles();
+        let after = simulation.roles();
         assert_eq!(before, RoleCounts { mixed: ENGINES, ..RoleCounts::default() });
         assert_eq!(after.prefill > 0 && after.decode > 0, changes, "{weight}: {after:?}");
         assert!(after.prefill <= bounds.max.prefill, "{after:?}");
-        assert!(world.most_changing <= ENGINES / 4, "{} at once", world.most_changing);
+        assert!(simulation.max_changing <= ENGINES / 4, "{} at once", simulation.max_changing);
     }
 }
 
-/// Symptom: roles swing to and fro when instances take the pool over from each other.
-/// Sequence: roles have followed the mix; the holder loses the pool, and the next one has seen
-/// nothing of it.
-/// Cause: a new holder that orders the declared roles, or plans before it knows the work.
+/// Guards against roles that oscillate when instances take over the pool from each other: roles have
+/// followed the mix, the holder loses the pool, and the next holder has not observed the work. It orders
+/// the declared roles, or plans before it knows the work.
 #[test]
 fn verify_a_new_holder_starts_from_the_engines_roles_and_waits() {
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let declared = declared(0.1, RoleBounds::default());
-    world.run(&declared, &quick(), Millis::from_secs(20));
-    world.run(&declared, &tight(), Millis::from_secs(120));
-    let (roles, orders) = (world.roles(), world.orders());
+    simulation.run(&declared, &quick(), Millis::from_secs(20));
+    simulation.run(&declared, &tight(), Millis::from_secs(120));
+    let (roles, orders) = (simulation.roles(), simulation.orders());
 
     for _ in 0..4 {
-        world.planners.keep_only(&BTreeSet::new());
-        world.run(&declared, &quick(), DWELL - STEP);
-        world.planners.keep_only(&BTreeSet::new());
-        world.run(&declared, &tight(), DWELL - STEP);
+        simulation.planners.keep_only(&BTreeSet::new());
+        simulation.run(&declared, &quick(), DWELL - STEP);
+        simulation.planners.keep_only(&BTreeSet::new());
+        simulation.run(&declared, &tight(), DWELL - STEP);
     }
 
     assert!(orders > 0 && roles.mixed < ENGINES);
-    assert_eq!((world.roles(), world.orders()), (roles, orders));
+    assert_eq!((simulation.roles(), simulation.orders()), (roles, orders));
 }
 
-/// Symptom: an engine changes its role twice within the least dwell time.
-/// Sequence: a holder changes its role and loses the pool; the next holder wants another.
-/// Cause: a new holder that takes engines for rested because it does not know what was changed.
+/// Guards against an engine that changes its role twice within the minimum dwell time: a holder changes
+/// the role and loses the pool, and the next holder wants another role. It assumes that the dwell time
+/// is over because it does not know the last change.
 #[test]
 fn verify_a_new_holder_waits_out_the_dwell_time() {
     let dwell = Millis::from_secs(50);
-    let mut world = World::new();
+    let mut simulation = Simulation::new();
     let mut declared = declared(0.1, RoleBounds::default());
     declared.policy.min_dwell_ms = dwell;
-    // The pool is taken over when its engines have run for long.
-    world.now = Millis::from_secs(1_000);
+    // The engines have run for a long time when the pool is taken over.
+    simulation.now = Millis::from_secs(1_000);
 
-    world.run(&declared, &tight(), dwell);
-    let early = world.orders();
-    world.run(&declared, &tight(), dwell);
+    simulation.run(&declared, &tight(), dwell);
+    let early = simulation.orders();
+    simulation.run(&declared, &tight(), dwell);
 
     assert_eq!(early, 0);
-    assert!(world.orders() > 0);
+    assert!(simulation.orders() > 0);
 }
--- a/crates/anvilhook-daemon/tests/settings.rs
+++ b/crates/anvilhook-daemon/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings files, good and bad. Beside each bad one lies the error that it must give.
+//! Tests of valid and invalid settings files. Next to each invalid file, a file with the extension
+//! `error` holds the expected error.
 
 use std::path::Path;
 
--- a/crates/anvilhook-daemon/tests/settings_bytes.rs
+++ b/crates/anvilhook-daemon/tests/settings_bytes.rs
@@ -1,8 +1,8 @@
-//! Settings files, given bytes and figures that no sound writer wrote.
+//! Tests of settings files with corrupt bytes and extreme numbers.
 //!
-//! A file is mutated by a seeded generator. Whatever comes, it gives settings that can be used, or one
-//! line that names the file and, where there is one, the line and the field. What was found once is a
-//! case of its own below.
+//! A seeded generator mutates a valid file. The result must be usable settings, or an error of one line
+//! that names the file and, where possible, the line and the field. Faults that were found are separate
+//! cases below.
 
 use std::path::Path;
 
@@ -11,10 +11,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How many mutations of the file are tried with each seed.
+/// The number of mutated files for each seed.
 const TRIES: usize = 1_500;
 
-/// The longest span that any setting may ask for.
+/// The longest time span that a setting may have.
 const LONGEST: Millis = Millis::from_secs(3_600);
 
 const KEY: &str = "0123456789abcdef0123456789abcdef";
@@ -35,7 +35,7 @@
 weights: {role_change: 1.0}
 "#;
 
-/// What is put in the place of a number.
+/// The replacements for a number.
 const NUMBERS: [&str; 12] = [
     "0",
     "-1",
@@ -51,7 +51,7 @@
     "[7]",
 ];
 
-/// What is put anywhere.
+/// The YAML fragments that are inserted at any position.
 const PIECES: [&str; 10] =
     ["\n", ":", "&a ", "*a", "{", "]", "? ", "--- ", "<<: *a\n", "!!binary \"\0\""];
 
@@ -77,7 +77,7 @@
     bytes
 }
 
-/// Puts an extreme number in the place of the next one.
+/// Replaces the next number after a position by an extreme one.
 fn put_number(rng: &mut ChaCha8Rng, bytes: &mut Vec<u8>, from: usize) {
     let Some(start) = (from..bytes.len()).find(|at| bytes[*at].is_ascii_digit()) else { return };
     let length = bytes[start..].iter().take_while(|byte| byte.is_ascii_digit()).count();
@@ -85,7 +85,7 @@
     bytes.splice(start..start + length, number.bytes());
 }
 
-/// Fails if an instance could not run by the settings.
+/// Fails if an instance could not run with the settings.
 fn verify_usable(settings: &Settings) {
     let Settings { platform, limits, polling, leases, roles, weights, .. } = settings;
     let spans = [
@@ -101,26 +101,26 @@
         roles.memory_ms,
     ];
     assert!(spans.iter().all(|span| *span > Millis::ZERO && *span <= LONGEST), "{spans:?}");
-    leases.options().check().expect("leases by which an instance can hold authority");
+    leases.options().check().expect("lease settings with which an instance can hold authority");
     assert!(limits.open_requests > 0, "{limits:?}");
     assert!(weights.role_change.is_finite() && weights.role_change >= 0.0, "{weights:?}");
     assert!(platform.address.port() != 0 && !platform.address.ip().is_unspecified());
     assert!(settings.peers.key.reveal().len() >= KEY.len());
 }
 
-fn verify_told_in_one_line(err: &SettingsError) {
+fn verify_error_is_one_line(err: &SettingsError) {
     let text = err.to_string();
     assert!(text.starts_with("a.yaml"), "{text:?}");
     assert_eq!(text.lines().count(), 1, "{text:?}");
     assert!(err.line.is_some() || err.field.is_some(), "{text:?}");
-    assert!(!text.contains(KEY), "a secret is told: {text:?}");
+    assert!(!text.contains(KEY), "the error contains a secret: {text:?}");
 }
 
-/// Symptom: an instance ends without a word about its settings, or starts by figures that harm it.
-/// Sequence: the file is cut, doubled, overwritten in part, or carries figures at their ends.
-/// Cause: what can't be used must be refused with its field, whatever it is.
+/// Guards against an instance that terminates without an error about its settings, or starts with
+/// harmful numbers: the file is truncated, partly duplicated or overwritten, or has numbers at the limits
+/// of their range. Every unusable value must be refused with its field.
 #[test]
-fn verify_mutated_settings_can_be_used_or_name_the_place() {
+fn verify_mutated_settings_are_usable_or_refused_with_their_place() {
     let (mut used, mut refused) = (0, 0);
     for seed in 0..4 {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -133,7 +133,7 @@
                     used += 1;
                 }
                 Err(err) => {
-                    verify_told_in_one_line(&err);
+                    verify_error_is_one_line(&err);
                     refused += 1;
                 }
             }
@@ -142,37 +142,35 @@
     assert!(used > TRIES / 20 && refused > TRIES / 10, "{used} used, {refused} refused");
 }
 
-/// Symptom: an instance takes minutes or all memory at its start.
-/// Sequence: a file holds values that name one another many times over, or lies deep in itself.
-/// Cause: what a short text stands for may be large without a bound.
+/// Guards against an instance that needs minutes or all memory to start: a short file expands without a
+/// limit through repeated aliases, or is deeply nested.
 #[test]
-fn verify_settings_that_unfold_are_refused() {
-    let mut doubled = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x]\n");
+fn verify_expanding_and_deeply_nested_settings_are_refused() {
+    let mut expanding = String::from("a0: &a0 [x, x, x, x, x, x, x, x, x]\n");
     for at in 1..12 {
         let before = at - 1;
         let names = vec![format!("*a{before}"); 9].join(", ");
-        doubled.push_str(&format!("a{at}: &a{at} [{names}]\n"));
+        expanding.push_str(&format!("a{at}: &a{at} [{names}]\n"));
     }
     let deep = format!("instance: {}{}", "[".repeat(50_000), "]".repeat(50_000));
-    for text in [doubled, deep] {
+    for text in [expanding, deep] {
         assert!(parse(Path::new("a.yaml"), &text).is_err());
     }
 }
 
-/// Symptom: an instance takes all memory at its start.
-/// Sequence: the path leads to a file without end.
-/// Cause: the file was read whole, however large it is.
+/// Guards against an instance that uses all memory at its start: the path names an endless file, which
+/// is read without a size limit.
 #[test]
 fn verify_settings_without_end_are_refused() {
     let err = load(Path::new("/dev/zero")).expect_err("endless");
     assert!(err.to_string().starts_with("/dev/zero: "), "{err}");
 }
 
-/// Symptom: the secret of a deployment stands in an error message, and so in logs.
-/// Sequence: an operator writes the section of the key with a fault: a colon lost, no section, a list.
-/// Cause: the message quotes what is found in the place of a field or a value.
+/// Guards against an error message, and so a log, that contains the secret of a deployment: the section
+/// with the key has a syntax fault (a missing colon, no section, a list), and the message quotes the text
+/// that it found instead of a field or a value.
 #[test]
-fn verify_no_error_tells_the_secret() {
+fn verify_no_error_contains_the_secret() {
     let digits = "12345678901234567890123456789012";
     let cases = [
         ("peers: {key 0123456789abcdef0123456789abcdef}", "peers"),
@@ -198,7 +196,7 @@
         match parse(Path::new("a.yaml"), &text) {
             Ok(settings) => verify_usable(&settings),
             Err(err) => {
-                verify_told_in_one_line(&err);
+                verify_error_is_one_line(&err);
                 assert!(!err.to_string().contains(digits), "{err}");
                 assert_eq!(err.field.as_deref(), Some(field), "{peers}: {err}");
             }
--- a/crates/anvilhook-daemon/tests/support/fakes.rs
+++ b/crates/anvilhook-daemon/tests/support/fakes.rs
@@ -1,4 +1,4 @@
-//! A fake upstream on a raw socket, which can break a connection at any byte.
+//! A fake upstream on a raw socket. It can break a connection at any byte.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -9,58 +9,60 @@
 use tokio::io::{AsyncBufReadExt, AsyncReadExt, AsyncWriteExt, BufReader};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The events of each streamed answer.
+/// The number of events in each complete streamed answer.
 pub const EVENTS: u64 = 4;
 
-/// `Fault` is what the fake does to one request.
+/// `Fault` is the way in which the fake fails one request.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// Nothing: the request is answered.
+    /// No fault: the request is answered.
     None,
-    /// Nobody listens.
+    /// No process listens at the address.
     ConnectRefused,
-    /// The request is run, and the connection reset before the first byte of the answer.
+    /// The request is run, and the connection is reset before the first byte of the answer.
     ResetBeforeFirstByte,
-    /// The request is run, and the connection reset within its answer.
+    /// The request is run, and the connection is reset in the middle of the answer.
     ResetAfterFirstByte,
-    /// The request is run on a connection that was used before, and the connection closed.
+    /// The request is run on a reused connection, which is then closed without an answer.
     PooledClosed,
-    /// The request is run and its answer never begins.
+    /// The request is run, and its answer never begins.
     SilentBeforeHead,
-    /// The request is run and its answer stops half-way.
+    /// The request is run, and its answer stops in the middle while the connection stays open.
     SilentWithinBody,
-    /// The upstream refuses before running.
+    /// The upstream refuses the request before running it.
     OwnRefusal,
-    /// The answer ends before its announced length.
+    /// The answer ends before the length announced in its head.
     CutShort,
     /// The stream ends without its closing event.
     NoClosingEvent,
-    /// The answer echoes another attempt.
+    /// The answer echoes the id of another attempt.
     OtherAttempt,
-    /// The answer echoes no attempt.
+    /// The answer echoes no attempt id.
     NoEcho,
-    /// The body belongs to another attempt, behind a right head.
+    /// The head echoes the right attempt id, but the body belongs to another attempt.
     OtherBody,
-    /// The answer comes twice on one connection, so that the second meets the next request.
+    /// The answer is sent twice on one connection, so that the next request on that connection may
+    /// receive the second copy.
     Duplicate,
-    /// The connection was used before and swallows the request without a word.
+    /// A reused connection accepts the request, does not run it and never responds.
     SilentConnection,
 }
 
-/// `Ledger` is what fakes that share it have seen, and what they are to do next.
+/// `Ledger` records the requests that the fakes of one test received, and sets their next faults.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// How often each request body was run.
+    /// The number of runs of each request body.
     pub runs: HashMap<String, u32>,
-    /// Streams that were cancelled.
+    /// The number of cancelled streams.
     pub cancels: u32,
-    /// Requests for a stream's rest.
+    /// The number of requests to resume a stream.
     pub resumes: u32,
-    /// The faults of the next requests. The last one stays if `repeats` is set.
+    /// The faults of the next requests, in order. The last one applies to all later requests if
+    /// `repeats` is set.
     pub faults: VecDeque<Fault>,
-    /// Whether the last fault goes on for ever.
+    /// Whether the last fault is repeated without end.
     pub repeats: bool,
-    /// Whether streams stay open without an end after their first event.
+    /// Whether streams stay open for ever after their first event.
     pub endless: bool,
 }
 
@@ -73,7 +75,7 @@
     }
 }
 
-/// `SharedLedger` is shared by the fakes of one test.
+/// `SharedLedger` is a ledger that the fakes of one test share.
 pub type SharedLedger = Arc<Mutex<Ledger>>;
 
 struct Call {
@@ -96,8 +98,8 @@
     address
 }
 
-/// Returns an address at which nobody listens. It stays bound, so that nobody else comes to listen
-/// there during the test.
+/// Returns an address at which no process listens. The socket stays bound, so that no other process
+/// can listen there during the test.
 pub fn dead_address() -> SocketAddr {
     let socket = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
     let socket = socket.expect("a socket");
@@ -118,7 +120,7 @@
             continue;
         }
         let fault = ledger.lock().expect("a ledger").next_fault();
-        // Two faults are about connections that were used before; a new one is well.
+        // Two faults apply to reused connections only; a new connection is healthy.
         let needs_used = matches!(fault, Fault::PooledClosed | Fault::SilentConnection);
         let fault = if needs_used && served == 0 { Fault::None } else { fault };
         served += 1;
@@ -128,7 +130,7 @@
     }
 }
 
-/// Answers a call; an error ends the connection.
+/// Answers a call. Returns an error if the connection must be closed.
 async fn answer(
     stream: &mut BufReader<TcpStream>,
     call: &Call,
@@ -163,7 +165,7 @@
         }
         Fault::ResetAfterFirstByte => {
             stream.write_all(&good[..good.len() * 3 / 4]).await?;
-            // The peer must have read these bytes, or the reset overtakes them.
+            // Gives the peer time to read these bytes, which the reset would otherwise discard.
             tokio::time::sleep(Duration::from_millis(20)).await;
             reset(stream);
             return Err(over());
@@ -251,7 +253,7 @@
         .into_bytes()
 }
 
-/// Returns the events from the one that the call asks for up to `last`, in chunks.
+/// Returns a chunked answer with the events after the one that the call names, up to `last`.
 fn streamed(call: &Call, last: u64, closes: bool) -> Vec<u8> {
     let attempt = &call.attempt;
     let after = call.path.split_once("after=").map_or(0, |(_, text)| text.parse().expect("after"));
@@ -261,7 +263,7 @@
     );
     let mut push = |text: &str| answer.push_str(&format!("{:x}\r\n{text}\r\n", text.len()));
     for number in after + 1..=last {
-        // Each event comes twice, as from an engine that repeats itself.
+        // Each event is sent twice, as by an engine that repeats events. The caller must receive it once.
         for _ in 0..2 {
             push(&format!("id: {number}\ndata: {{\"id\":\"{attempt}\",\"n\":{number}}}\n\n"));
         }
--- a/crates/anvilhook-daemon/tests/support/fronts.rs
+++ b/crates/anvilhook-daemon/tests/support/fronts.rs
@@ -1,4 +1,4 @@
-//! An instance's front on a real socket, and a caller.
+//! The front of an instance on a real socket, and a caller of it.
 
 use std::net::SocketAddr;
 
@@ -20,28 +20,28 @@
 use volo_http::body::Body;
 use volo_http::client::sse::SseReader;
 
-/// The token of the one account.
+/// The token of the only account.
 pub const TOKEN: &str = "a-token-of-the-test";
 
-/// Generous, so that a test ends with a message and not by hanging.
-pub const PATIENCE: Millis = Millis(20_000);
+/// The time after which a test fails with a message instead of hanging.
+pub const TEST_TIMEOUT: Millis = Millis(20_000);
 
 /// `FrontUnderTest` is a running front.
 pub struct FrontUnderTest<K> {
     /// The front.
     pub front: Front<SystemClock, HttpUpstreams, K>,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// Its phase.
+    /// Its shutdown phase.
     pub shutdown: Shutdown,
     /// Its metrics.
     pub registry: Registry,
     client: HttpClient,
 }
 
-/// `Told` is what a caller was told.
+/// `Answer` is the answer that a caller received.
 #[derive(Clone, Debug)]
-pub struct Told {
+pub struct Answer {
     /// The status.
     pub status: StatusCode,
     /// The headers.
@@ -50,22 +50,22 @@
     pub body: String,
 }
 
-impl Told {
-    /// Returns the verdict header, or "answered".
+impl Answer {
+    /// Returns the value of the verdict header, or "answered" if there is none.
     pub fn outcome(&self) -> String {
         let verdict = self.headers.get(VERDICT_HEADER).map(|value| value.to_str().expect("text"));
         verdict.unwrap_or("answered").to_owned()
     }
 }
 
-/// Returns the limits of services in tests. They are generous, so that no answer that comes is late,
-/// however busy the machine is.
+/// Returns a service with limits for tests. Its time limits are long, so that no answer counts as
+/// late because the machine is busy.
 pub fn service(backend: ServiceBackend) -> ServiceSpec {
     ServiceSpec {
         backend,
-        deadline_ms: Millis(PATIENCE.0 * 3 / 4),
-        first_byte_ms: Millis(PATIENCE.0 / 2),
-        between_events_ms: Millis(PATIENCE.0 / 2),
+        deadline_ms: Millis(TEST_TIMEOUT.0 * 3 / 4),
+        first_byte_ms: Millis(TEST_TIMEOUT.0 / 2),
+        between_events_ms: Millis(TEST_TIMEOUT.0 / 2),
         priority: 1,
         max_body_bytes: 10_000,
         max_answer_bytes: 10_000,
@@ -73,7 +73,8 @@
 }
 
 /// Returns a configuration with a service `ledger` of plain upstreams and a service `verdicts` of
-/// engines with model `m`, both at the given addresses.
+/// engines with model `m`, both at the given addresses. `account` is the limit on requests per second
+/// and on open requests.
 pub fn configuration(
     addresses: &[SocketAddr],
     edit: impl Fn(&mut ServiceSpec),
@@ -132,7 +133,7 @@
     Configuration::new(Revision(1), resources)
 }
 
-/// Starts a front before upstreams at the given addresses.
+/// Starts a front with a configuration.
 pub async fn start<K: Claims>(
     cfg: &Configuration,
     options: FrontOptions,
@@ -141,7 +142,7 @@
     start_seeded(cfg, options, claims, [7; 32]).await
 }
 
-/// Starts a front that draws its ids from a seed. Two instances must not share one.
+/// Starts a front that draws its ids from a seed. Two instances must not share a seed.
 pub async fn start_seeded<K: Claims>(
     cfg: &Configuration,
     options: FrontOptions,
@@ -167,7 +168,8 @@
 }
 
 impl<K> FrontUnderTest<K> {
-    /// Sends a request with the account's token and the given further headers.
+    /// Sends a request with the given headers, and with the account's token unless they hold another
+    /// authorization.
     pub async fn send(
         &self,
         method: &str,
@@ -183,7 +185,7 @@
             req = req.header(*name, *value);
         }
         let req = req.body(Body::from(body.to_owned())).expect("a request");
-        let sending = self.client.send(self.address, req, Connection::New, PATIENCE);
+        let sending = self.client.send(self.address, req, Connection::New, TEST_TIMEOUT);
         sending.await.expect("an answer from the front")
     }
 
@@ -194,14 +196,14 @@
         path: &str,
         headers: &[(&str, &str)],
         body: &str,
-    ) -> Told {
+    ) -> Answer {
         let (parts, body) = self.send(method, path, headers, body).await.into_parts();
-        let body = collect_body(body, 1 << 20, PATIENCE).await.expect("a whole answer");
+        let body = collect_body(body, 1 << 20, TEST_TIMEOUT).await.expect("a whole answer");
         let body = String::from_utf8(body.to_vec()).expect("text");
-        Told { status: parts.status, headers: parts.headers, body }
+        Answer { status: parts.status, headers: parts.headers, body }
     }
 
-    /// Asks for a streamed completion, and returns the numbers of its events and how it ended.
+    /// Requests a streamed completion, and returns the numbers of its events and its outcome.
     pub async fn ask_streamed(&self, body: &str) -> (Vec<u64>, String) {
         let answer = self.send("POST", "/v1/chat/completions", &[], body).await;
         if !answer.status().is_success() {
@@ -221,7 +223,7 @@
             }
             numbers.push(event.id().expect("a number").parse().expect("a number"));
         }
-        (numbers, "cut".to_owned())
+        (numbers, "truncated".to_owned())
     }
 }
 
--- a/crates/anvilhook-daemon/tests/support/mod.rs
+++ b/crates/anvilhook-daemon/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Fixtures: a fake upstream with faults on the wire, and an instance's front before it.
+//! Fixtures: a fake upstream that injects faults on its connections, and the front of an instance that
+//! uses it.
 
 pub mod fakes;
 pub mod fronts;
--- a/crates/anvilhook-daemon/tests/watches.rs
+++ b/crates/anvilhook-daemon/tests/watches.rs
@@ -1,4 +1,4 @@
-//! Watching changes over a socket.
+//! Tests of the watch endpoint over a socket.
 
 mod operators_fixture;
 
@@ -18,14 +18,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-/// A bound on waits that end by themselves, for a clear failure in place of a hanging test.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// The time after which a test fails with a message instead of hanging.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Reads events up to the bookmark of a revision, and returns their names and revisions.
+/// Reads events up to the bookmark of a revision and returns their names and revisions.
 async fn read_to(watch: &mut WatchReader, bookmark: u64) -> Vec<(&'static str, u64)> {
     let mut seen = Vec::new();
     loop {
-        let event = tokio::time::timeout(PATIENCE, watch.next()).await.unwrap().unwrap().unwrap();
+        let event =
+            tokio::time::timeout(TEST_TIMEOUT, watch.next()).await.unwrap().unwrap().unwrap();
         seen.push((event.name(), event.revision().0));
         if seen.last() == Some(&("bookmark", bookmark)) {
             return seen;
@@ -34,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn verify_a_watch_tells_what_was_and_what_comes() {
+async fn verify_a_watch_sends_past_and_new_changes() {
     let api = Api::start().await;
     api.declare("a", 1, 0).await;
     api.declare("b", 1, 0).await;
@@ -51,10 +52,9 @@
     }
 }
 
-/// Symptom: a watcher keeps a resource that was deleted.
-/// Sequence: the instance takes a newer configuration from a peer while the table is down, so it
-/// does not know the changes in between.
-/// Cause: only the changes that were known were sent.
+/// Guards against a watcher that retains a deleted resource: while the table is down, the instance
+/// receives a newer configuration from a peer and does not know the changes in between. It then sends
+/// only the changes that it knows.
 #[tokio::test]
 async fn verify_a_watch_waits_for_changes_that_only_the_table_has() {
     let api =
@@ -76,14 +76,14 @@
 }
 
 #[tokio::test]
-async fn verify_too_old_says_how_to_start_anew() {
+async fn verify_too_old_explains_how_to_start_again() {
     let api = Api::start().await;
     let mut rest = 0;
     for n in 0..8 {
         rest = api.declare(&format!("a{n}"), 1, 0).await.0;
     }
     while api.archive.step(WallTime(5_000)).await.unwrap() != ArchiveStep::Idle {}
-    // Another instance has not seen the changes itself.
+    // This instance did not receive the changes itself.
     let other = Api::start_beside(&api).await;
     other.follower.poll_once().await.unwrap();
     let client = other.client(READER);
@@ -96,7 +96,7 @@
     assert!(err.to_string().contains("Start anew: get the list"), "{err}");
     assert_eq!((list.revision.0, list.items.len()), (rest, 8));
     assert_eq!(read_to(&mut watch, rest).await, [("bookmark", rest)]);
-    // The audit trail is still listed whole, over both places.
+    // The audit trail is still listed completely, from the table and the archive.
     let mut revisions = Vec::new();
     let mut from = Some(Revision(1));
     while let Some(next) = from {
@@ -108,7 +108,7 @@
 }
 
 #[tokio::test]
-async fn verify_watchers_are_counted_and_end_with_the_instance() {
+async fn verify_watchers_are_limited_and_end_with_the_instance() {
     let api = Api::start_with(OperatorOptions { max_watchers: 1, ..Default::default() }).await;
     let client = api.client(READER);
     let mut watch = client.watch(Revision(0)).await.unwrap();
@@ -118,21 +118,21 @@
     assert_eq!(err.code(), Some(Code::TooManyWatchers));
 
     api.shutdown.advance(Phase::Draining);
-    let end = tokio::time::timeout(PATIENCE, watch.next()).await.unwrap().unwrap();
+    let end = tokio::time::timeout(TEST_TIMEOUT, watch.next()).await.unwrap().unwrap();
     assert_eq!(end, None::<WatchEvent>);
 }
 
-/// Connects with a receive buffer so small that a few large events fill all buffers on the way.
-async fn connect_with_little_room(address: SocketAddr) -> TcpStream {
+/// Connects with a small receive buffer, so that a few large events fill all buffers on the path.
+async fn connect_with_small_buffer(address: SocketAddr) -> TcpStream {
     const BYTES: u32 = 4 << 10;
     let socket = TcpSocket::new_v4().unwrap();
     socket.set_recv_buffer_size(BYTES).unwrap();
     socket.connect(address).await.unwrap()
 }
 
-/// Symptom: an instance's memory grows until it is killed.
-/// Sequence: a watcher stops reading and leaves its connection open while changes go on.
-/// Cause: events were buffered for as long as the watcher was connected.
+/// Guards against an instance whose memory grows until it is killed: a watcher stops reading and leaves
+/// its connection open while changes continue, and its events are buffered for as long as it is
+/// connected.
 #[tokio::test]
 async fn verify_a_watcher_that_does_not_read_is_dropped() {
     let options = OperatorOptions {
@@ -142,21 +142,21 @@
         ..Default::default()
     };
     let api = Api::start_with(options).await;
-    let mut stream = connect_with_little_room(api.address).await;
+    let mut stream = connect_with_small_buffer(api.address).await;
     let head = "GET /api/v1/watch?from=0 HTTP/1.1\r\nhost: a\r\nauthorization: Bearer reader-token\r\n\r\n";
     stream.write_all(head.as_bytes()).await.unwrap();
     let mut status = [0; 12];
     stream.read_exact(&mut status).await.unwrap();
     assert_eq!(&status, b"HTTP/1.1 200");
 
-    // Each event is large, so that the sockets' buffers fill soon.
+    // Each event is large, so that the socket buffers fill soon.
     let mut large = account(1);
     large["token_sha256"] = json!(vec!["0".repeat(64); 4_000]);
-    // The kernel gives such a connection up after 20 s by itself. So many changes take a fifth of that, and
-    // a busy machine only makes them slower.
-    const MOST_CHANGES: u64 = 60;
+    // The kernel closes such a connection by itself after 20 s. This many changes take a fifth of that
+    // time; a busy machine only makes them slower.
+    const MAX_CHANGES: u64 = 60;
     let client = api.client(OPERATOR);
-    for version in 0..MOST_CHANGES {
+    for version in 0..MAX_CHANGES {
         let body = put_body(large.clone(), version);
         let accepted =
             client.put(&key("a"), &body, ChangeId(u128::from(version) + 1)).await.unwrap();
@@ -165,5 +165,5 @@
             return;
         }
     }
-    panic!("the watcher still counts after {MOST_CHANGES} changes");
+    panic!("the watcher is still connected after {MAX_CHANGES} changes");
 }
