--- a/crates/anvilhook-daemon/tests/load_digests.rs
+++ b/crates/anvilhook-daemon/tests/load_digests.rs
@@ -1,4 +1,4 @@
-//! Three instances that poll the load reports of engines for each other.
+//! Tests three instances that poll the load reports of engines for each other.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/anvilhook-daemon/tests/operators.rs
+++ b/crates/anvilhook-daemon/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The contract of the operator API, over a socket.
+//! Tests of the contract of the operator API, over a socket.
 
 mod operators_fixture;
 
--- a/crates/anvilhook-daemon/tests/process_faults.rs
+++ b/crates/anvilhook-daemon/tests/process_faults.rs
@@ -1,4 +1,4 @@
-//! Guarantees of the system on real daemon processes under kills, freezes, outages and races. Other
+//! Tests of the system's guarantees on real daemon processes under kills, freezes, outages and races. Other
 //! tests cover the decisions under a manual clock; these tests cover how the parts are connected.
 
 #[path = "processes/calls.rs"]
@@ -355,7 +355,7 @@
         let before = current_account(first).await;
         for member in &fleet.members {
             assert_eq!(current_account(member).await.version, before.version);
-            // Heartbeats may use up some of these.
+            // Writes of heartbeats may use up some of the losses.
             member.platform.faults().lose_next_writes(round as usize % 4, Loss::AfterEffect);
         }
         let ids = [ChangeId::random(&mut rng), ChangeId::random(&mut rng)];
--- a/crates/anvilhook-daemon/tests/process_upstreams.rs
+++ b/crates/anvilhook-daemon/tests/process_upstreams.rs
@@ -1,4 +1,5 @@
-//! Planned changes, and upstreams that leave or stop responding, with load on real daemon processes.
+//! Tests of planned changes, and of upstreams that leave or stop responding, with load on real daemon
+//! processes.
 
 #[path = "processes/calls.rs"]
 mod calls;
