--- a/crates/anvilhook-bench/src/policy/deployments.rs
+++ b/crates/anvilhook-bench/src/policy/deployments.rs
@@ -1,11 +1,11 @@
-//! The two deployments of today, as the bench sees them.
+//! The two current deployments, as the bench models them.
 
 use anvilhook_core::units::Millis;
 use anvilhook_standin::engines::EngineOptions;
 
 use super::kinds::{Kind, KindSpec};
 
-/// `Deployment` is a site.
+/// `Deployment` is one of the two sites.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Deployment {
     /// Papadakis in Attica.
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Returns the weight of a role change against the goodput that it gains.
+    /// Returns the weight that the planner gives a role change against the goodput that it gains.
     pub fn change_weight(self) -> f64 {
         match self {
             Deployment::Papadakis => 1.0,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the one-way delay to callers.
+    /// Returns the one-way delay from an instance to its callers.
     pub fn caller_delay(self) -> Millis {
         match self {
             Deployment::Papadakis => Millis(3),
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns what the requests of a kind look like.
+    /// Returns the sizes of a kind's requests at this site.
     pub fn kind(self, kind: Kind) -> KindSpec {
         let (shared, own, output, topics) = match (self, kind) {
             (Deployment::Papadakis, Kind::Verdict) => (6_144, 1_500..3_500, 40..80, 24),
@@ -71,8 +71,8 @@
         KindSpec { shared, own, output, topics }
     }
 
-    /// Returns the engines' speeds and memory: room for about 160,000 tokens of KV cache, as much as
-    /// all shared texts together.
+    /// Returns the engines' speeds and memory. The KV cache holds about 160,000 tokens, as many as all
+    /// shared texts together.
     pub fn engine_options(self) -> EngineOptions {
         EngineOptions { cache_blocks: 640, token_events: false, ..EngineOptions::default() }
     }
--- a/crates/anvilhook-bench/src/policy/instances.rs
+++ b/crates/anvilhook-bench/src/policy/instances.rs
@@ -1,4 +1,4 @@
-//! One entry instance of a run: its views of the upstreams and its decisions.
+//! Models one entry instance of a run: its view of the upstreams and its routing decisions.
 
 use std::sync::Arc;
 
@@ -18,57 +18,57 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::deployments::Deployment;
-use super::policies::{Ask, Chooser, Policy, Router};
+use super::policies::{Chooser, Policy, Router, RouterQuery};
 use super::workloads::{ACCOUNTS, Request, Workload};
 
-/// The pairs of blocks and engines that an instance remembers.
+/// The maximum number of pairs of a block and an engine in an instance's prefix index.
 const INDEX_CAPACITY: usize = 65_536;
 
-/// `Decision` is what an instance does with a request.
+/// `Decision` is an instance's routing decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Decision {
-    /// Send it to an engine.
+    /// Send the request to an engine.
     Send {
         /// The engine.
         engine: usize,
-        /// Which part of it.
+        /// The phase of the request that the engine runs.
         phase: Phase,
-        /// The work that is counted in there.
+        /// The work that is counted as open at the engine.
         work: Work,
     },
-    /// Refuse it as not run.
+    /// Refuse the request as not run.
     Refuse,
-    /// No engine takes it.
+    /// No engine accepts the request at present.
     Nowhere,
 }
 
-/// `Sent` is work that other instances are told of.
+/// `Sent` is work that the instance publishes to its peers.
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     /// The engine.
     pub engine: usize,
-    /// What was sent.
+    /// The work that was sent.
     pub work: Work,
-    /// When.
+    /// The time at which it was sent.
     pub at: Millis,
 }
 
-/// `Instance` is one entry instance.
+/// `Instance` models one entry instance.
 pub struct Instance {
     /// Its availability zone.
     pub zone: usize,
-    /// What it knows of each engine.
+    /// Its view of each engine.
     pub engines: Vec<Arc<UpstreamState>>,
-    /// What it knows of each upstream of the plain service.
+    /// Its view of each upstream of the plain service.
     pub plain: Vec<Arc<UpstreamState>>,
-    /// The work that it was asked for.
+    /// Measures the work that callers requested.
     pub meter: WorkMeter,
-    /// What it has sent since its last digest.
+    /// The work that it has sent since its last digest.
     pub sent: Vec<Sent>,
-    /// Its budget of retries.
+    /// Its retry budget.
     pub retries: RetryBudget,
     lanes: Arc<Lanes>,
-    lane_keeper: LaneBalancer,
+    lane_balancer: LaneBalancer,
     table: RouteTable,
     plain_table: RouteTable,
     prefixes: Arc<PrefixIndex>,
@@ -89,7 +89,7 @@
 }
 
 impl Instance {
-    /// Makes an instance that has heard of nothing yet.
+    /// Creates an instance that has not received any report or digest yet.
     pub fn new(index: usize, workload: &Workload, policy: &Policy) -> Self {
         let engines = states("engine", Deployment::ENGINES);
         let plain = states("plain", Deployment::PLAIN);
@@ -123,7 +123,7 @@
             sent: Vec::new(),
             retries: RetryBudget::new(&RetryBudgetOptions::default()),
             lanes,
-            lane_keeper: LaneBalancer::new(&PoolShape::default()),
+            lane_balancer: LaneBalancer::new(&PoolShape::default()),
             table,
             prefixes,
             followers: slots.map(CacheFollower::new).collect(),
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Returns the number after which an engine's cache events should be asked for.
+    /// Returns the sequence number after which an engine's cache events should be requested.
     pub fn next_after(&self, engine: usize) -> u64 {
         self.followers[engine].next_after()
     }
@@ -147,13 +147,13 @@
         self.followers[engine].apply(page, &self.prefixes);
     }
 
-    /// Moves the border between the lanes by the work of all instances.
+    /// Moves the border between the lanes according to the observed work of all instances.
     pub fn move_lanes(&mut self, seen: &ObservedWork) {
         let engines = self.engines.len();
-        self.lane_keeper.update(seen, engines, &self.lanes);
+        self.lane_balancer.update(seen, engines, &self.lanes);
     }
 
-    /// Returns whether the account may start one more request.
+    /// Returns whether the account's limit allows one more request.
     pub fn within_limit(&self, account: usize, now: Millis) -> bool {
         let limiter = &self.limiters[account];
         let admitted = limiter.try_admit(now).is_ok();
@@ -163,11 +163,11 @@
         admitted
     }
 
-    fn names_of(&self, places: &[usize]) -> Vec<UpstreamName> {
-        places.iter().map(|place| self.engines[*place].name().clone()).collect()
+    fn names_of(&self, indices: &[usize]) -> Vec<UpstreamName> {
+        indices.iter().map(|index| self.engines[*index].name().clone()).collect()
     }
 
-    /// Decides where a request starts.
+    /// Decides where a request is sent first.
     pub fn start(
         &mut self,
         policy: &Policy,
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Decides which engine generates the output of a prompt that was read elsewhere.
-    pub fn go_on(
+    /// Decides which engine generates the output after another engine has read the prompt.
+    pub fn start_decode(
         &mut self,
         policy: &Policy,
         request: &Request,
@@ -208,13 +208,13 @@
             let chosen = table.choose_for(Phase::Decode, &req, &names, now, rng);
             let Some(chosen) = chosen else { return Decision::Nowhere };
             let work = chosen.work(Phase::Decode, request.work);
-            let engine = self.place_of(chosen.upstream);
+            let engine = self.index_of(chosen.upstream);
             return Decision::Send { engine, phase: Phase::Decode, work };
         }
         let none = self.prefixes.holders(&[]);
         let (table, rng, chooser) = (&self.table, &mut self.rng, &mut self.chooser);
-        let ask = Ask { phase: Phase::Decode, tried, holders: &none, blocks: 0 };
-        let engine = chooser.choose(&policy.router, table, &ask, rng);
+        let query = RouterQuery { phase: Phase::Decode, tried, holders: &none, blocks: 0 };
+        let engine = chooser.choose(&policy.router, table, &query, rng);
         self.send(engine, Phase::Decode, request, &none)
     }
 
@@ -224,16 +224,16 @@
         let rng = &mut self.rng;
         if let Router::Cost(_) | Router::Holder(_) = policy.router {
             let chosen = table.choose(&route_request(request), &[], now, rng);
-            let chosen = chosen.expect("no upstream of the plain service leaves");
+            let chosen = chosen.expect("every upstream of the plain service accepts work");
             return self.plain.iter().position(|state| Arc::ptr_eq(state, chosen)).unwrap_or(0);
         }
         let none = self.prefixes.holders(&[]);
         let router = &policy.router;
-        let ask = Ask { phase: Phase::Whole, tried: &[], holders: &none, blocks: 0 };
-        self.chooser.choose(router, table, &ask, rng).unwrap_or(0)
+        let query = RouterQuery { phase: Phase::Whole, tried: &[], holders: &none, blocks: 0 };
+        self.chooser.choose(router, table, &query, rng).unwrap_or(0)
     }
 
-    /// Counts a request in at an engine.
+    /// Counts a request's work as open at an engine.
     pub fn begin(&mut self, engine: usize, work: Work, now: Millis) {
         self.engines[engine].begin_at(work, now);
         self.sent.push(Sent { engine, work, at: now });
@@ -260,7 +260,7 @@
             Placement::Split { prefill, .. } => (prefill, Phase::Prefill),
         };
         let work = candidate.work(phase, req.work);
-        Decision::Send { engine: self.place_of(candidate.upstream), phase, work }
+        Decision::Send { engine: self.index_of(candidate.upstream), phase, work }
     }
 
     fn start_as_baseline(
@@ -273,7 +273,7 @@
         let can = |phase: Phase| {
             self.engines.iter().any(|engine| engine.takes_work() && phase.fits(engine.role()))
         };
-        // Engines that only read are as good as mixed ones if there are some that only generate.
+        // Prefill engines can be used like mixed ones if there are decode engines to continue.
         let splits = self.engines.iter().any(|engine| !Phase::Whole.fits(engine.role()));
         let phase = if splits && can(Phase::Prefill) && can(Phase::Decode) {
             Phase::Prefill
@@ -281,10 +281,10 @@
             Phase::Whole
         };
         let (table, rng, chooser) = (&self.table, &mut self.rng, &mut self.chooser);
-        let ask = Ask { phase, tried, holders, blocks: request.blocks.len() };
-        let engine = chooser.choose(&policy.router, table, &ask, rng);
+        let query = RouterQuery { phase, tried, holders, blocks: request.blocks.len() };
+        let engine = chooser.choose(&policy.router, table, &query, rng);
         let Some(engine) = engine else { return Decision::Nowhere };
-        // A mixed engine goes on with what it has read.
+        // A mixed engine generates the output of the prompt that it has read.
         let role = self.engines[engine].role();
         let phase = if Phase::Whole.fits(role) { Phase::Whole } else { phase };
         self.send(Some(engine), phase, request, holders)
@@ -313,7 +313,7 @@
         uncached(request, most.unwrap_or(0))
     }
 
-    fn place_of(&self, upstream: &Arc<UpstreamState>) -> usize {
+    fn index_of(&self, upstream: &Arc<UpstreamState>) -> usize {
         upstream.cache_slot().map_or(0, |slot| usize::from(slot.0))
     }
 }
--- a/crates/anvilhook-bench/src/policy/kinds.rs
+++ b/crates/anvilhook-bench/src/policy/kinds.rs
@@ -1,4 +1,4 @@
-//! The kinds of requests and what each promises.
+//! The kinds of requests, with the priority, time limit and size of each.
 
 use std::ops::Range;
 
@@ -9,9 +9,9 @@
 pub enum Kind {
     /// An alert or a ledger record, to a plain service.
     Record,
-    /// A long document against a shared text, with a short verdict.
+    /// A long document that is checked against a shared text, with a short verdict as the answer.
     Verdict,
-    /// A short question with an answer that is read as it comes.
+    /// A short question whose answer the caller reads while it is streamed.
     Question,
 }
 
@@ -28,7 +28,7 @@
         }
     }
 
-    /// Returns the priority; the smaller goes first.
+    /// Returns the priority. Smaller values are served first.
     pub fn priority(self) -> u8 {
         match self {
             Kind::Record => 0,
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns the time within which the answer must be whole. That of a question follows from the
-    /// target of 1.2 s to the first token and 40 ms between tokens.
+    /// Returns the time limit for the complete answer. The limit of a question follows from the target
+    /// of 1.2 s to the first token and 40 ms between tokens.
     pub fn time_limit(self, output: Tokens) -> Millis {
         match self {
             Kind::Record => Millis(1_000),
@@ -48,10 +48,10 @@
     }
 }
 
-/// `KindSpec` says how large a kind's requests are.
+/// `KindSpec` gives the sizes of a kind's requests.
 #[derive(Clone, Debug)]
 pub struct KindSpec {
-    /// Tokens of the prompt's beginning that requests on one topic share.
+    /// Tokens at the start of the prompt that all requests on one topic share.
     pub shared: u64,
     /// Tokens of the rest of the prompt.
     pub own: Range<u64>,
@@ -62,12 +62,12 @@
 }
 
 impl KindSpec {
-    /// Returns the average tokens of a prompt's own part.
+    /// Returns the mean number of prompt tokens that follow the shared start.
     pub fn mean_own(&self) -> f64 {
         (self.own.start + self.own.end - 1) as f64 / 2.0
     }
 
-    /// Returns the average tokens of output.
+    /// Returns the mean number of output tokens.
     pub fn mean_output(&self) -> f64 {
         (self.output.start + self.output.end - 1) as f64 / 2.0
     }
--- a/crates/anvilhook-bench/src/policy/mod.rs
+++ b/crates/anvilhook-bench/src/policy/mod.rs
@@ -1,5 +1,5 @@
-//! The bench of the policy: the core's decisions against the engine stand-in's state machine, on a
-//! manual clock, beside baselines and the bound.
+//! Bench of the policy. Runs the core's decisions against the engine stand-in's state machine on a
+//! manual clock and compares the result with baselines and with an upper bound.
 
 mod deployments;
 mod instances;
@@ -62,11 +62,11 @@
     secs: u64,
 }
 
-/// Runs the bench.
+/// Runs the policy bench and prints or writes its rows.
 ///
 /// # Errors
 ///
-/// An argument that names nothing, or an output that cannot be written.
+/// Returns an error if an argument names nothing known or an output cannot be written.
 pub fn run(args: &Args) -> eyre::Result<()> {
     let options = RunOptions::try_new(args)?;
     let rows = run_all(&options);
--- a/crates/anvilhook-bench/src/policy/outcomes.rs
+++ b/crates/anvilhook-bench/src/policy/outcomes.rs
@@ -1,4 +1,4 @@
-//! What became of the requests of a run, and the row that sums them up.
+//! Records the outcomes of a run's requests and summarises them in a row.
 
 use anvilhook_core::units::Millis;
 use hdrhistogram::Histogram;
@@ -7,43 +7,43 @@
 use super::kinds::Kind;
 use super::workloads::{FLOODING, Workload};
 
-/// The greatest time that the histograms hold, in milliseconds.
-const LONGEST_MS: u64 = 3_600_000;
+/// The largest value that the histograms record, in milliseconds.
+const MAX_RECORDED_MS: u64 = 3_600_000;
 
-/// `Outcome` is what became of one request.
+/// `Outcome` is the result of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Outcome {
-    /// It was not answered before the run's end.
+    /// The request was not answered before the run's end.
     #[default]
     Open,
-    /// It was answered whole.
+    /// The request was answered completely.
     Answered {
-        /// When the caller had the first token.
+        /// The time at which the caller had received the first token.
         first_at: Millis,
-        /// When the caller had the whole answer.
+        /// The time at which the caller had received the complete answer.
         at: Millis,
     },
-    /// It was refused as not run.
+    /// The request was refused as not run.
     Refused,
-    /// The caller gave up at the deadline.
+    /// The caller abandoned the request at the deadline.
     Late,
     /// All attempts failed.
     Failed,
 }
 
 impl Outcome {
-    /// Returns whether the caller had the whole answer in time.
+    /// Returns whether the caller received the complete answer by the deadline.
     pub fn is_in_time(&self, deadline: Millis) -> bool {
         matches!(self, Outcome::Answered { at, .. } if *at <= deadline)
     }
 }
 
-/// `Row` sums up one run.
+/// `Row` holds the figures of one run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
     /// The site.
     pub deployment: &'static str,
-    /// What happened.
+    /// The scenario.
     pub scenario: &'static str,
     /// The load, as a percentage of what a perfect plan could carry.
     pub load_pct: u32,
@@ -51,22 +51,22 @@
     pub policy: &'static str,
     /// The seed.
     pub seed: u64,
-    /// Model requests answered whole and in time, in a second.
+    /// Model requests answered completely and in time, per second.
     pub goodput: f64,
-    /// The most of them that any policy could reach, in a second.
+    /// The upper bound of the goodput for any policy, per second.
     pub bound: f64,
     /// `goodput` over `bound`.
     pub bound_share: f64,
-    /// Useful engine time of the requests answered in time, over the engine time that was offered
-    /// or could be had, whichever is less.
+    /// The useful engine time of the requests answered in time, divided by the engine time that the
+    /// requests needed or that was available, whichever is less.
     pub work_share: f64,
-    /// Orders to change a role.
+    /// The number of orders to change a role.
     pub role_changes: u32,
-    /// Role changes in an hour after the first ten minutes.
+    /// Role changes per hour after the first ten minutes.
     pub later_changes_per_hour: f64,
-    /// Verdicts answered in time, in a second.
+    /// Verdicts answered in time, per second.
     pub goodput_verdict: f64,
-    /// Questions answered in time, in a second.
+    /// Questions answered in time, per second.
     pub goodput_question: f64,
     /// The share of verdicts answered in time.
     pub verdict_in_time: f64,
@@ -74,23 +74,23 @@
     pub question_in_time: f64,
     /// The share of alerts or ledger records answered in time.
     pub record_in_time: f64,
-    /// The share of the requests of accounts that don't flood answered in time.
+    /// The share of requests answered in time among the accounts that don't flood.
     pub others_in_time: f64,
-    /// Counted model requests that ended late.
+    /// Counted model requests that were answered late or not at all.
     pub late: u64,
     /// Counted model requests that were refused as not run.
     pub refused: u64,
     /// Counted model requests whose attempts all failed.
     pub failed: u64,
-    /// The time to the first token that 95 in 100 keep, in milliseconds.
+    /// The 95th percentile of the time to the first token, in milliseconds.
     pub first_token_p95_ms: u64,
-    /// The average time between tokens that 95 in 100 answers keep, in milliseconds.
+    /// The 95th percentile over all answers of the mean time between tokens, in milliseconds.
     pub between_tokens_p95_ms: f64,
     /// The share of shared prompt tokens that were found in a cache.
     pub cache_hit_share: f64,
-    /// Engines of the roles prefill, decode and mixed at the end.
+    /// The number of engines in the roles prefill, decode and mixed at the end of the run.
     pub roles: [usize; 3],
-    /// Goodput over time, by minute, for the plot.
+    /// The goodput in each minute, for the plot.
     #[serde(skip)]
     pub by_minute: Vec<f64>,
     /// The times of role changes, for the plot.
@@ -98,21 +98,21 @@
     pub changes_at: Vec<Millis>,
 }
 
-/// `Totals` is what a run counts besides the outcomes.
+/// `Totals` holds the counts of a run in addition to the outcomes.
 #[derive(Clone, Debug, Default)]
 pub struct Totals {
     /// The times of role changes.
     pub changes_at: Vec<Millis>,
     /// Shared prompt tokens sent to engines.
     pub shared_tokens: u64,
-    /// Prompt tokens found in caches.
+    /// Shared prompt tokens that were found in caches.
     pub cached_tokens: u64,
-    /// Engines of the roles prefill, decode and mixed.
+    /// The number of engines in the roles prefill, decode and mixed.
     pub roles: [usize; 3],
 }
 
 impl Row {
-    /// Sums up a run.
+    /// Computes the figures of a run.
     pub fn new(
         workload: &Workload,
         policy: &'static str,
@@ -129,7 +129,7 @@
             }
             let in_time = outcome.is_in_time(request.deadline);
             if request.of_flood {
-                // Beyond the account's limit an answer is no goodput, and none is missed.
+                // Beyond the account's limit an answer adds no goodput, and a missing answer is no failure.
                 if !in_time || left_of_flood == 0 {
                     continue;
                 }
@@ -232,8 +232,8 @@
 
 impl Default for Tally {
     fn default() -> Self {
-        // Three digits are what a plot or a table can show.
-        let histogram = || Histogram::new_with_bounds(1, LONGEST_MS, 3).expect("valid bounds");
+        // A plot or a table shows no more than three significant digits.
+        let histogram = || Histogram::new_with_bounds(1, MAX_RECORDED_MS, 3).expect("valid bounds");
         Self {
             kinds: Default::default(),
             others: Count::default(),
--- a/crates/anvilhook-bench/src/policy/policies.rs
+++ b/crates/anvilhook-bench/src/policy/policies.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The policies that the bench compares: routers, role planning and admission.
 
 use anvilhook_core::caches::Holders;
 use anvilhook_core::routing::{CostOptions, Phase, RouteTable, UpstreamState};
@@ -8,44 +8,45 @@
 /// The share of a prompt that an engine must hold for cache affinity to count.
 const AFFINITY_SHARE: f64 = 0.5;
 
-/// `Split` is a number of engines for each role; the rest are mixed.
+/// `Split` gives the number of engines for each specialised role. The others are mixed.
 #[derive(Clone, Copy, Debug, Default, Eq, PartialEq)]
 pub struct Split {
-    /// Engines that read prompts.
+    /// Engines that only read prompts (prefill).
     pub prefill: usize,
-    /// Engines that generate.
+    /// Engines that only generate output (decode).
     pub decode: usize,
 }
 
-/// `Router` chooses an engine.
+/// `Router` is a rule by which an engine is chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Router {
-    /// Each in turn.
+    /// Each engine in turn.
     RoundRobin,
-    /// The one with the fewest of this instance's requests.
+    /// The engine with the fewest open requests of this instance.
     LeastOutstanding,
-    /// The better of two drawn at random.
+    /// The one with fewer open requests of two engines drawn at random.
     PowerOfTwo,
-    /// The one believed to hold most of the prompt, else the one with the fewest requests.
+    /// The engine that is assumed to cache the largest part of the prompt, otherwise the one with the
+    /// fewest open requests.
     CacheAffinity,
-    /// The least cost, as the core works it out.
+    /// The engine with the lowest cost, as the core computes it.
     Cost(CostOptions),
-    /// As `Cost`, but with a rule of its own for engines that hold the prefix.
+    /// Like `Cost`, but with a different rule for engines that hold the prefix.
     Holder(HolderRule),
 }
 
-/// `HolderRule` is one way to choose between an engine that holds the prefix, for which a request
-/// may have to wait, and a cold one.
+/// `HolderRule` is one way to choose between an engine that holds the prefix, where a request may have
+/// to wait, and an engine with a cold cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HolderRule {
-    /// Whichever answers sooner, as Lackner et al. choose between fast storage with a queue and slow
-    /// storage without (Algorithm 2).
+    /// Use the engine that answers sooner, as Lackner et al. choose between fast storage with a queue
+    /// and slow storage without one (Algorithm 2).
     Turnaround,
     /// Always wait for the holder.
     AlwaysWait,
-    /// Never look at who holds the prefix.
+    /// Ignore which engines hold the prefix.
     NeverWait,
-    /// One or the other at random.
+    /// Choose between the two at random.
     Random,
 }
 
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Draws whether the holder is looked for.
+    /// Returns whether the holders of the prefix are considered, drawing at random if the rule says so.
     pub fn waits(self, rng: &mut ChaCha8Rng) -> bool {
         match self {
             HolderRule::Turnaround | HolderRule::AlwaysWait => true,
@@ -70,29 +71,29 @@
     }
 }
 
-/// `Planning` is how roles are planned.
+/// `Planning` is the way in which roles are planned.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Planning {
-    /// As they are at the start.
+    /// The roles stay as they are at the start.
     Fixed(Split),
-    /// The roles that would suit the present mix best, whatever the change costs.
+    /// The roles follow the current mix, whatever a change costs.
     Greedy,
-    /// As the core plans them.
+    /// The core plans the roles and weighs the gain of a change against its cost.
     Weighed,
 }
 
-/// `Policy` is one way to take all decisions of a run.
+/// `Policy` combines the rules for all decisions of a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Policy {
     /// The name used in rows.
     pub name: &'static str,
-    /// How engines are chosen.
+    /// The rule by which engines are chosen.
     pub router: Router,
-    /// How roles are planned.
+    /// The way in which roles are planned.
     pub planning: Planning,
     /// Whether requests are refused early and accounts are limited.
     pub admission: bool,
-    /// Whether tight requests have a lane of their own.
+    /// Whether requests with a tight deadline have a separate lane.
     pub lanes: bool,
 }
 
@@ -104,7 +105,7 @@
         Self { name: "anvilhook", router, planning, admission: true, lanes: true }
     }
 
-    /// Returns this project's policy with other rules for engines that hold a prefix.
+    /// Returns variants of this project's policy with other rules for engines that hold a prefix.
     pub fn holder_rules() -> Vec<Self> {
         let rules = [
             ("turnaround", HolderRule::Turnaround),
@@ -116,7 +117,7 @@
         rules.into_iter().map(policy).collect()
     }
 
-    /// Returns this project's policy with one part left out of each.
+    /// Returns variants of this project's policy, each with one part left out or changed.
     pub fn ablations() -> Vec<Self> {
         let ours = Self::ours();
         let cost = |name, options| Self { name, router: Router::Cost(options), ..ours };
@@ -133,7 +134,7 @@
         ]
     }
 
-    /// Returns the baselines. `best` is the fixed split that was found best.
+    /// Returns the baselines. `best` is the fixed split with the highest goodput.
     pub fn baselines(best: Split) -> Vec<Self> {
         let mixed = Planning::Fixed(Split::default());
         let baseline = |name, router, planning| Self {
@@ -154,45 +155,47 @@
     }
 }
 
-/// `Ask` is what a baseline router is asked for.
+/// `RouterQuery` is the input of a baseline router's choice.
 #[derive(Clone, Copy, Debug)]
-pub struct Ask<'a> {
-    /// The part of a request.
+pub struct RouterQuery<'a> {
+    /// The phase of the request that needs an engine.
     pub phase: Phase,
-    /// The places that refused it.
+    /// The indices of the engines that refused the request.
     pub tried: &'a [usize],
-    /// The believed holders of its prompt.
+    /// The engines that are assumed to cache parts of its prompt.
     pub holders: &'a Holders,
-    /// The number of its prompt's blocks.
+    /// The number of blocks in its prompt.
     pub blocks: usize,
 }
 
-/// `Chooser` is one instance's state of a baseline router.
+/// `Chooser` holds the state of a baseline router on one instance.
 #[derive(Clone, Debug, Default)]
 pub struct Chooser {
     turn: usize,
 }
 
 impl Chooser {
-    /// Chooses an engine for one part of a request as a baseline does. Returns its place in the
-    /// table.
+    /// Chooses an engine for one phase of a request by a baseline router. Returns its index in the
+    /// route table.
     pub fn choose(
         &mut self,
         router: &Router,
         table: &RouteTable,
-        ask: &Ask<'_>,
+        query: &RouterQuery<'_>,
         rng: &mut ChaCha8Rng,
     ) -> Option<usize> {
         let upstreams = table.upstreams();
-        let fits = |place: &usize| {
-            let upstream = &upstreams[*place];
-            upstream.takes_work() && ask.phase.fits(upstream.role()) && !ask.tried.contains(place)
+        let fits = |index: &usize| {
+            let upstream = &upstreams[*index];
+            upstream.takes_work()
+                && query.phase.fits(upstream.role())
+                && !query.tried.contains(index)
         };
         let fitting: Vec<usize> = (0..upstreams.len()).filter(fits).collect();
         if fitting.is_empty() {
             return None;
         }
-        let open = |place: &usize| upstreams[*place].open_requests();
+        let open = |index: &usize| upstreams[*index].open_requests();
         match router {
             Router::RoundRobin => {
                 self.turn += 1;
@@ -203,9 +206,9 @@
                 two.into_iter().min_by_key(open)
             }
             Router::CacheAffinity => {
-                let held = |place: &usize| held_blocks(&upstreams[*place], ask.holders);
-                let most = *fitting.iter().max_by_key(|place| held(place))?;
-                if f64::from(held(&most)) >= AFFINITY_SHARE * ask.blocks.max(1) as f64 {
+                let held = |index: &usize| held_blocks(&upstreams[*index], query.holders);
+                let most = *fitting.iter().max_by_key(|index| held(index))?;
+                if f64::from(held(&most)) >= AFFINITY_SHARE * query.blocks.max(1) as f64 {
                     return Some(most);
                 }
                 least_open(&fitting, open, rng)
@@ -225,6 +228,6 @@
     rng: &mut ChaCha8Rng,
 ) -> Option<usize> {
     let least = fitting.iter().map(&open).min()?;
-    let equal: Vec<usize> = fitting.iter().copied().filter(|place| open(place) == least).collect();
+    let equal: Vec<usize> = fitting.iter().copied().filter(|index| open(index) == least).collect();
     Some(equal[rng.random_range(0..equal.len())])
 }
--- a/crates/anvilhook-bench/src/policy/reports.rs
+++ b/crates/anvilhook-bench/src/policy/reports.rs
@@ -1,4 +1,4 @@
-//! The page of charts: one self-contained HTML file.
+//! Writes a page with charts of the rows as one self-contained HTML file.
 
 use std::fmt::Write as _;
 use std::fs;
@@ -12,8 +12,8 @@
 /// The size of a chart in pixels.
 const SIZE: (u32, u32) = (620, 340);
 
-/// The load whose course over time is shown.
-const COURSE_LOAD_PCT: u32 = 100;
+/// The load for which the charts over time are drawn.
+const TIMELINE_LOAD_PCT: u32 = 100;
 
 /// The colours of the policies, in the order of their rows.
 const COLOURS: [RGBColor; 7] = [
@@ -26,7 +26,7 @@
     RGBColor(0x60, 0x60, 0x60),
 ];
 
-/// `Line` is one policy's points in a chart.
+/// `Line` holds the points of one policy in a chart.
 struct Line {
     name: String,
     points: Vec<(f64, f64)>,
@@ -36,9 +36,10 @@
 ///
 /// # Errors
 ///
-/// The directory cannot be made, or the page cannot be drawn or written.
+/// Returns an error if the directory cannot be created or the page cannot be drawn or written.
 pub fn write(dir: &Path, rows: &[Row]) -> Result<()> {
-    fs::create_dir_all(dir).wrap_err_with(|| format!("--report: cannot make {}", dir.display()))?;
+    fs::create_dir_all(dir)
+        .wrap_err_with(|| format!("--report: cannot create {}", dir.display()))?;
     let mut html = String::from(
         "<!doctype html>\n<html lang=\"en\">\n<meta charset=\"utf-8\">\n<title>Policy</title>\n\
          <style>body{font-family:sans-serif;margin:2em}svg{margin:4px}</style>\n\
@@ -53,7 +54,10 @@
         )?);
         let changes = by_load(&group, |row| f64::from(row.role_changes));
         html.push_str(&chart("Role changes, by load in %", &changes)?);
-        html.push_str(&chart("Goodput at 100% load, requests/s, by minute", &course(&group))?);
+        html.push_str(&chart(
+            "Goodput at 100% load, requests/s, by minute",
+            &goodput_over_time(&group),
+        )?);
         html.push_str(&chart(
             "Role changes so far at 100% load, by minute",
             &changes_over(&group),
@@ -64,7 +68,7 @@
     fs::write(&path, html).wrap_err_with(|| format!("--report: cannot write {}", path.display()))
 }
 
-/// Returns the rows of each site and scenario.
+/// Groups the rows by site and scenario.
 fn groups(rows: &[Row]) -> Vec<Vec<&Row>> {
     let mut groups: Vec<Vec<&Row>> = Vec::new();
     for row in rows {
@@ -89,10 +93,10 @@
     lines
 }
 
-fn course(rows: &[&Row]) -> Vec<Line> {
-    let rows = rows.iter().filter(|row| row.load_pct == COURSE_LOAD_PCT);
+fn goodput_over_time(rows: &[&Row]) -> Vec<Line> {
+    let rows = rows.iter().filter(|row| row.load_pct == TIMELINE_LOAD_PCT);
     let line = |row: &&Row| {
-        // The first and the last minute are counted in part only.
+        // The first and the last minute are only partly counted.
         let whole = 1..row.by_minute.len().saturating_sub(1).max(1);
         let points = whole.map(|minute| (minute as f64, row.by_minute[minute])).collect();
         Line { name: row.policy.to_owned(), points }
@@ -101,7 +105,7 @@
 }
 
 fn changes_over(rows: &[&Row]) -> Vec<Line> {
-    let rows = rows.iter().filter(|row| row.load_pct == COURSE_LOAD_PCT);
+    let rows = rows.iter().filter(|row| row.load_pct == TIMELINE_LOAD_PCT);
     let line = |row: &&Row| {
         let minutes = row.by_minute.len();
         let until = |minute: usize| {
@@ -118,11 +122,11 @@
     if points().next().is_none() {
         return Ok(String::new());
     }
-    let least_x = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
-    let most_x = points().map(|point| point.0).fold(least_x + 1.0, f64::max);
-    let most_y = points().map(|point| point.1).fold(1.0, f64::max) * 1.05;
+    let min_x = points().map(|point| point.0).fold(f64::INFINITY, f64::min);
+    let max_x = points().map(|point| point.0).fold(min_x + 1.0, f64::max);
+    let max_y = points().map(|point| point.1).fold(1.0, f64::max) * 1.05;
     let mut svg = String::new();
-    draw(&mut svg, title, lines, least_x..most_x, most_y)
+    draw(&mut svg, title, lines, min_x..max_x, max_y)
         .map_err(|err| eyre!("cannot draw a chart: {err}"))?;
     Ok(svg)
 }
@@ -132,7 +136,7 @@
     title: &str,
     lines: &[Line],
     xs: std::ops::Range<f64>,
-    most_y: f64,
+    max_y: f64,
 ) -> std::result::Result<(), Box<dyn std::error::Error>> {
     let area = SVGBackend::with_string(svg, SIZE).into_drawing_area();
     area.fill(&WHITE)?;
@@ -141,7 +145,7 @@
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(44)
-        .build_cartesian_2d(xs, 0.0..most_y)?;
+        .build_cartesian_2d(xs, 0.0..max_y)?;
     chart.configure_mesh().light_line_style(WHITE).draw()?;
     for (line, colour) in lines.iter().zip(COLOURS.iter().cycle()) {
         let series = LineSeries::new(line.points.iter().copied(), colour.stroke_width(2));
--- a/crates/anvilhook-bench/src/policy/role_control.rs
+++ b/crates/anvilhook-bench/src/policy/role_control.rs
@@ -1,4 +1,4 @@
-//! Role changes of a run: what is asked for, and the drain before each order.
+//! Plans the role changes of a run and tracks each one from the drain to the order.
 
 use anvilhook_core::orders::{Order, Role, Stamp, StampedOrder, Term};
 use anvilhook_core::resources::RolePolicy;
@@ -10,37 +10,37 @@
 use super::deployments::Deployment;
 use super::policies::{Planning, Policy, Split};
 
-/// The time in which all instances acknowledge a drain.
+/// The time after which all instances have acknowledged a drain.
 pub const ACKNOWLEDGED_AFTER: Millis = Millis(400);
 
-/// The time between two plans.
+/// The interval between two role plans.
 pub const PLAN_INTERVAL: Millis = Millis::from_secs(5);
 
-/// `Change` is a role change under way.
+/// `Change` is a role change in progress.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Change {
     /// The new role.
     pub role: Role,
-    /// When the drain was marked.
+    /// The time at which the drain was marked.
     pub drained_at: Millis,
     /// Whether the order has been given.
     pub ordered: bool,
 }
 
-/// `RoleControl` holds the roles that are meant to be.
+/// `RoleControl` holds the desired roles of the engines and plans their changes.
 pub struct RoleControl {
     planning: Planning,
     planner: RolePlanner,
     shape: PoolShape,
     roles: Vec<Role>,
     changed_at: Vec<Option<Millis>>,
-    /// The change of each engine.
+    /// The change in progress of each engine.
     pub changes: Vec<Option<Change>>,
     seen: ObservedWork,
     seq: u64,
 }
 
-/// Returns the roles of a fixed split over the engines.
+/// Returns the role of each engine under a fixed split.
 pub fn roles_of(split: Split) -> Vec<Role> {
     let role = |index: usize| match index {
         index if index < split.prefill => Role::Prefill,
@@ -51,7 +51,7 @@
 }
 
 impl RoleControl {
-    /// Starts with the policy's first roles.
+    /// Creates the role control with the policy's initial roles.
     pub fn new(deployment: Deployment, policy: &Policy) -> Self {
         let first = match policy.planning {
             Planning::Fixed(split) => split,
@@ -75,12 +75,13 @@
         }
     }
 
-    /// Returns the present roles.
+    /// Returns the desired roles.
     pub fn roles(&self) -> &[Role] {
         &self.roles
     }
 
-    /// Returns the engines that should begin to change, given the work seen since the last plan.
+    /// Returns the engines that should start a role change, with their new roles, given the work
+    /// observed since the last plan.
     pub fn plan(
         &mut self,
         seen: &ObservedWork,
@@ -94,14 +95,14 @@
                 self.planner.observe(seen, now);
                 let engines = self.engines(serving);
                 let changes = self.planner.plan(&engines, now);
-                let place = |name| engines.iter().position(|engine| engine.name == name);
-                let pairs = changes.into_iter().map(|c| place(c.engine).map(|p| (p, c.role)));
+                let index_of = |name| engines.iter().position(|engine| engine.name == name);
+                let pairs = changes.into_iter().map(|c| index_of(c.engine).map(|p| (p, c.role)));
                 pairs.flatten().collect()
             }
         }
     }
 
-    /// Returns the next order, under the one authority of the run.
+    /// Returns the next order. All orders of a run carry the same term, since it has one authority.
     pub fn order(&mut self, engine: usize, role: Role, now: Millis) -> StampedOrder {
         self.seq += 1;
         self.roles[engine] = role;
@@ -121,9 +122,9 @@
         (0..Deployment::ENGINES).map(engine).collect()
     }
 
-    /// Moves at once to as many engines that only read as there is reading in the work, the rest
-    /// only generating. It smooths the mix over some ten seconds, or it would follow every uneven
-    /// arrival.
+    /// Returns the changes that match the share of prefill engines to the share of prefill in the work
+    /// at once, with all other engines in the decode role. The mix is smoothed over about ten seconds,
+    /// as the plan would otherwise follow every irregular arrival.
     fn plan_greedily(&mut self, seen: &ObservedWork, serving: &[bool]) -> Vec<(usize, Role)> {
         self.seen = if self.seen == ObservedWork::default() {
             *seen
--- a/crates/anvilhook-bench/src/policy/runs.rs
+++ b/crates/anvilhook-bench/src/policy/runs.rs
@@ -1,4 +1,4 @@
-//! All runs of the bench, over several threads.
+//! Runs all combinations of sites, scenarios, loads and policies on several threads.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,25 +16,25 @@
 /// The loads, as percentages of what a perfect plan could carry.
 const LOADS: [u32; 5] = [60, 80, 100, 120, 150];
 
-/// The length of the runs by which the best fixed split is searched.
-const SEARCH: Millis = Millis::from_secs(300);
+/// The length of the runs that search for the best fixed split.
+const SEARCH_HORIZON: Millis = Millis::from_secs(300);
 
-/// The splits that are tried: engines that only read and ones that only generate.
+/// The splits that are tried, as the numbers of prefill and decode engines.
 const SPLITS: [(usize, usize); 8] =
     [(0, 0), (1, 1), (2, 2), (2, 4), (3, 6), (4, 4), (4, 8), (6, 6)];
 
-/// `Compared` says what this project's policy is compared with.
+/// `Compared` selects what this project's policy is compared with.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Compared {
     /// The baselines.
     Baselines,
     /// Other rules for engines that hold a prefix.
     HolderRules,
-    /// The policy with one part left out.
+    /// Variants of the policy with one part left out or changed.
     Ablations,
 }
 
-/// `RunOptions` says what is run.
+/// `RunOptions` selects what is run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
     /// The sites.
@@ -45,7 +45,7 @@
     pub loads: Vec<u32>,
     /// What the policy is compared with.
     pub compared: Compared,
-    /// The one policy to run, if not all.
+    /// The only policy to run; `None` runs all of them.
     pub policy: Option<String>,
     /// The seed.
     pub seed: u64,
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// An argument that names nothing.
+    /// Returns an error if an argument names nothing known.
     pub fn try_new(args: &Args) -> Result<Self> {
         let mut deployments = Deployment::ALL.to_vec();
         if let Some(name) = &args.deployment {
@@ -82,7 +82,7 @@
     }
 }
 
-/// Runs everything and returns the rows in a fixed order.
+/// Runs all selected combinations and returns the rows in a fixed order.
 pub fn run_all(options: &RunOptions) -> Vec<Row> {
     let mut workloads = Vec::new();
     for deployment in &options.deployments {
@@ -123,9 +123,9 @@
     policies.iter().map(|policy| worlds::run(&workload, policy)).collect()
 }
 
-/// Searches for the fixed split with the most goodput, on a shorter run of the same scenario.
+/// Returns the fixed split with the highest goodput on a shorter run of the same scenario.
 pub fn best_split(deployment: Deployment, scenario: Scenario, load: u32, seed: u64) -> Split {
-    let workload = Workload::new(deployment, scenario, load, seed, SEARCH);
+    let workload = Workload::new(deployment, scenario, load, seed, SEARCH_HORIZON);
     let baseline =
         Policy::baselines(Split::default()).into_iter().find(|p| p.name == "fixed-roles");
     let Some(baseline) = baseline else { return Split::default() };
@@ -141,7 +141,7 @@
     best.map_or(Split::default(), |(_, split)| split)
 }
 
-/// Works out `count` results on all processors, in order.
+/// Computes `count` results on all processors and returns them in the order of their indices.
 pub fn in_parallel<T: Send>(count: usize, work: impl Fn(usize) -> T + Sync) -> Vec<T> {
     let next = AtomicUsize::new(0);
     let results = Mutex::new((0..count).map(|_| None).collect::<Vec<Option<T>>>());
--- a/crates/anvilhook-bench/src/policy/scenarios.rs
+++ b/crates/anvilhook-bench/src/policy/scenarios.rs
@@ -1,50 +1,51 @@
-//! What happens during a run.
+//! The scenarios of a run: how the mix of requests changes, and which faults are injected.
 
 use std::f64::consts::TAU;
 
 use anvilhook_core::units::Millis;
 
-/// The least and the greatest share of verdicts in the work while the mix swings.
-const LOW: f64 = 0.2;
-const HIGH: f64 = 0.8;
+/// The minimum and the maximum share of verdicts in the work while the mix swings.
+const MIN_VERDICT_SHARE: f64 = 0.2;
+const MAX_VERDICT_SHARE: f64 = 0.8;
 
-/// The time that a swing takes there and back.
+/// The period of a swing of the mix.
 const SWING_PERIOD: Millis = Millis::from_secs(480);
 
-/// The time that a flapping mix stays on one side.
-const FLAP: Millis = Millis::from_secs(120);
+/// The time for which a flapping mix stays at one share.
+const FLAP_DWELL: Millis = Millis::from_secs(120);
 
-/// `Scenario` is a course of the mix with the faults that go with it.
+/// `Scenario` is a change of the mix over time together with its faults.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Scenario {
-    /// The mix stays.
+    /// The mix stays constant.
     Steady,
     /// The mix swings within minutes.
     Swing,
-    /// The mix changes once, at once and for good.
+    /// The mix changes once, abruptly and permanently.
     Flip,
-    /// The mix jumps to and fro every two minutes.
+    /// The mix jumps between its two extremes every two minutes.
     Flapping,
     /// The mix swings and load reports are 1 to 5 s old.
     LaggedReports,
-    /// The mix swings and an engine crashes during a role change, or at half-time if there is none.
+    /// The mix swings and an engine crashes during a role change, or in the middle of the run if no
+    /// role changes.
     CrashMidChange,
-    /// The mix swings and an engine is withdrawn for good.
+    /// The mix swings and an engine is withdrawn permanently.
     Withdrawn,
     /// The mix swings and two engines are drained at the peak of verdicts.
     DrainAtPeak,
     /// The mix swings and cache events are late and partly lost.
     LateCacheEvents,
-    /// The mix swings and one account asks for far more than its limit.
+    /// The mix swings and one account sends far more requests than its limit allows.
     Flood,
 }
 
-/// `Fault` is something that is done to an engine.
+/// `Fault` is a planned action on an engine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Fault {
-    /// It is taken out of service without cutting a request.
+    /// The engine is taken out of service without interrupting a request.
     Drain,
-    /// It takes part again.
+    /// The engine returns to service.
     Return,
 }
 
@@ -83,18 +84,19 @@
     pub fn verdict_share(self, at: Millis, horizon: Millis) -> f64 {
         match self {
             Scenario::Steady => 0.5,
-            Scenario::Flip if at.0 < horizon.0 / 2 => LOW,
-            Scenario::Flip => HIGH,
-            Scenario::Flapping if (at.0 / FLAP.0).is_multiple_of(2) => LOW,
-            Scenario::Flapping => HIGH,
+            Scenario::Flip if at.0 < horizon.0 / 2 => MIN_VERDICT_SHARE,
+            Scenario::Flip => MAX_VERDICT_SHARE,
+            Scenario::Flapping if (at.0 / FLAP_DWELL.0).is_multiple_of(2) => MIN_VERDICT_SHARE,
+            Scenario::Flapping => MAX_VERDICT_SHARE,
             _ => {
                 let turn = at.0 as f64 / SWING_PERIOD.0 as f64 * TAU;
-                (LOW + HIGH) / 2.0 - (HIGH - LOW) / 2.0 * turn.cos()
+                (MIN_VERDICT_SHARE + MAX_VERDICT_SHARE) / 2.0
+                    - (MAX_VERDICT_SHARE - MIN_VERDICT_SHARE) / 2.0 * turn.cos()
             }
         }
     }
 
-    /// Returns the faults, with the engine that each befalls.
+    /// Returns the faults, each with its time and the index of its engine.
     pub fn faults(self, horizon: Millis) -> Vec<(Millis, usize, Fault)> {
         let peak = Millis(SWING_PERIOD.0 / 2);
         let after = |span: u64| peak + Millis::from_secs(span);
--- a/crates/anvilhook-bench/src/policy/workloads.rs
+++ b/crates/anvilhook-bench/src/policy/workloads.rs
@@ -1,4 +1,4 @@
-//! The requests of a run and the bound on how many of them can be answered in time.
+//! Generates the requests of a run and computes the bound on how many of them can be answered in time.
 
 use std::sync::Arc;
 
@@ -13,20 +13,21 @@
 use super::kinds::Kind;
 use super::scenarios::Scenario;
 
-/// Requests that arrive before this are not counted, because all caches are empty at the start.
+/// Requests that arrive before this time are not counted, because all caches are empty at the start.
 pub const WARM_UP: Millis = Millis::from_secs(30);
 
-/// Requests that arrive this long before the end are not counted, because they might not end.
+/// Requests that arrive within this time of the run's end are not counted, because they might not
+/// complete.
 pub const TAIL: Millis = Millis::from_secs(16);
 
-/// Alerts or ledger records in a second.
+/// Alerts or ledger records per second.
 const RECORDS_PER_S: f64 = 20.0;
 
 /// The accounts that share a site's load.
 pub const ACCOUNTS: usize = 6;
 
-/// The account that floods, and the share of the site's capacity that it asks for on top of its
-/// usual part, and that any account may have.
+/// The account that floods. [`FLOOD_SHARE`] is the share of the site's capacity that it requests in
+/// addition to its usual part, [`FLOOD_LIMIT_SHARE`] the share that any account may use.
 pub const FLOODING: usize = 0;
 const FLOOD_SHARE: f64 = 1.0;
 const FLOOD_LIMIT_SHARE: f64 = 0.4;
@@ -34,23 +35,23 @@
 /// `Request` is one request of a run.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// When it arrives at an instance.
+    /// The time of arrival at an instance.
     pub at: Millis,
-    /// When its answer must be with the caller.
+    /// The time by which the caller must have the complete answer.
     pub deadline: Millis,
     /// Its kind.
     pub kind: Kind,
-    /// Whose it is.
+    /// The account that sends it.
     pub account: usize,
     /// Its size.
     pub work: Work,
-    /// The whole blocks of its prompt.
+    /// The hashes of the complete blocks of its prompt.
     pub blocks: Arc<[PrefixHash]>,
-    /// The least engine time that it takes, its shared part being cached.
+    /// The minimum engine time that it needs when its shared part is cached.
     pub least_ms: f64,
-    /// Whether it counts.
+    /// Whether it is counted in the figures.
     pub counts: bool,
-    /// Whether it is of the account that asks for more than its limit.
+    /// Whether it belongs to the account that exceeds its limit.
     pub of_flood: bool,
 }
 
@@ -59,23 +60,24 @@
 pub struct Workload {
     /// The site.
     pub deployment: Deployment,
-    /// What happens.
+    /// The scenario.
     pub scenario: Scenario,
     /// The load, as a percentage of what a perfect plan could carry.
     pub load_pct: u32,
     /// The seed.
     pub seed: u64,
-    /// How long it lasts.
+    /// The length of the run.
     pub horizon: Millis,
     /// The requests.
     pub requests: Vec<Request>,
-    /// The limit of each account's requests in a second.
+    /// The limit of each account, in requests per second.
     pub account_limit: f64,
-    /// The most requests of the flooding account that its limit allows. To refuse the rest is right.
+    /// The number of the flooding account's requests that its limit allows. The others are refused
+    /// correctly.
     pub allowed_of_flood: usize,
 }
 
-/// Returns the speeds that the options declare.
+/// Returns the speeds that the engine options declare.
 pub fn speeds(options: &EngineOptions) -> Speeds {
     Speeds {
         prefill_tokens_per_ms: f64::from(options.prefill_tokens_per_s) / 1_000.0,
@@ -86,7 +88,7 @@
 }
 
 impl Workload {
-    /// Draws the requests of a run. The same arguments give the same requests.
+    /// Draws the requests of a run. Equal arguments give equal requests.
     pub fn new(
         deployment: Deployment,
         scenario: Scenario,
@@ -140,14 +142,14 @@
         workload
     }
 
-    /// Returns the span in which requests count, in seconds.
+    /// Returns the length of the period in which requests are counted, in seconds.
     pub fn counted_secs(&self) -> f64 {
         (self.horizon - WARM_UP - TAIL).as_secs_f64()
     }
 
-    /// Returns the bound on the model requests that can be answered in time: those with the least
-    /// work go first until all engines have been busy with useful work from the first counted
-    /// arrival to the end. No policy can pass it. Withdrawn engines are left out.
+    /// Returns the upper bound on the model requests that can be answered in time, which no policy can
+    /// exceed. It serves the requests with the least work first until all engines have spent the time
+    /// from the first counted arrival to the end on useful work. Withdrawn engines add no capacity.
     pub fn bound(&self) -> f64 {
         let model = self.requests.iter().filter(|r| r.counts && r.kind != Kind::Record);
         let sorted_costs = |of_flood: bool| {
@@ -171,7 +173,7 @@
         count
     }
 
-    /// Returns the engine time that there is for counted requests, in milliseconds.
+    /// Returns the engine time that is available for counted requests, in milliseconds.
     pub fn capacity_ms(&self) -> f64 {
         let span = (self.horizon - WARM_UP).0 as f64;
         let lost: f64 = match self.scenario {
@@ -185,7 +187,7 @@
     }
 }
 
-/// Returns the average least engine time of a kind's requests.
+/// Returns the mean of the minimum engine time of a kind's requests, in milliseconds.
 fn mean_ms(deployment: Deployment, kind: Kind) -> f64 {
     let spec = deployment.kind(kind);
     let speeds = speeds(&deployment.engine_options());
@@ -208,7 +210,7 @@
     let mut requests = Vec::new();
     loop {
         let now = Millis(at as u64);
-        // The rate changes over minutes; over one gap it is as good as constant.
+        // The rate changes over minutes, so it is nearly constant between two arrivals.
         at += -(1.0 - rng.random::<f64>()).ln() / rate(now).max(1e-9);
         if at >= horizon.0 as f64 {
             return requests.into_iter();
--- a/crates/anvilhook-bench/src/policy/worlds/engine_changes.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/engine_changes.rs
@@ -1,4 +1,4 @@
-//! Engines that change their roles, drain, crash and return.
+//! Simulates role changes, drains, crashes and restarts of engines.
 
 use anvilhook_core::units::Millis;
 
@@ -7,11 +7,11 @@
 use crate::policy::role_control::{ACKNOWLEDGED_AFTER, Change, PLAN_INTERVAL};
 use crate::policy::scenarios::Fault;
 
-/// How long a crashed engine stays down.
-const DOWN: Millis = Millis::from_secs(30);
+/// The time for which a crashed engine stays down.
+const DOWNTIME: Millis = Millis::from_secs(30);
 
-/// The engine that crashes if none has begun a change by the middle of the run.
-const CRASHED_UNCHANGED: usize = 5;
+/// The engine that crashes if no engine has started a change by the middle of the run.
+const FALLBACK_CRASH_ENGINE: usize = 5;
 
 impl World<'_> {
     pub(super) fn plan(&mut self) {
@@ -21,7 +21,7 @@
         for (engine, role) in self.roles.plan(&seen, &serving, self.now) {
             let change = Change { role, drained_at: self.now, ordered: false };
             self.roles.changes[engine] = Some(change);
-            self.show_serving(engine);
+            self.publish_serving(engine);
         }
         self.timers.set(self.now + PLAN_INTERVAL, Timer::Plan);
     }
@@ -40,7 +40,7 @@
             }
         }
         if self.crash_pending && self.now.0 > self.workload.horizon.0 / 2 {
-            self.crash(CRASHED_UNCHANGED);
+            self.crash(FALLBACK_CRASH_ENGINE);
         }
     }
 
@@ -56,25 +56,25 @@
         for instance in &self.instances {
             instance.engines[engine].set_role(change.role);
         }
-        self.show_serving(engine);
+        self.publish_serving(engine);
     }
 
     fn crash(&mut self, engine: usize) {
         self.crash_pending = false;
         self.engines[engine].crash(self.now);
         self.up[engine] = false;
-        // The interrupted order leaves the engine as it was before; it is given up.
+        // The interrupted order leaves the engine in its previous role, and the change is abandoned.
         if self.roles.changes[engine].take().is_some() {
             let role = self.instances[0].engines[engine].role();
             let _ = self.roles.order(engine, role, self.now);
         }
-        self.timers.set(self.now + DOWN, Timer::Restart(engine));
+        self.timers.set(self.now + DOWNTIME, Timer::Restart(engine));
     }
 
     pub(super) fn restart(&mut self, engine: usize) {
         self.engines[engine].restart(self.now);
         self.up[engine] = true;
-        self.show_serving(engine);
+        self.publish_serving(engine);
     }
 
     pub(super) fn fault(&mut self, engine: usize, index: usize) {
@@ -83,11 +83,11 @@
             Fault::Drain => self.drained[engine] = true,
             Fault::Return => self.drained[engine] = false,
         }
-        self.show_serving(engine);
+        self.publish_serving(engine);
     }
 
-    /// Shows all instances whether an engine takes work.
-    fn show_serving(&mut self, engine: usize) {
+    /// Updates the view of all instances on whether an engine accepts work.
+    fn publish_serving(&mut self, engine: usize) {
         let changing = self.roles.changes[engine].is_some();
         let leaving = changing || self.drained[engine] || !self.up[engine];
         for instance in &self.instances {
--- a/crates/anvilhook-bench/src/policy/worlds/engine_events.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/engine_events.rs
@@ -1,4 +1,4 @@
-//! What engines tell of the work that they do.
+//! Applies the events that engines report about their work.
 
 use anvilhook_core::attempts::AttemptId;
 use anvilhook_core::units::{Millis, Tokens};
@@ -8,7 +8,7 @@
 use crate::policy::outcomes::Outcome;
 
 impl World<'_> {
-    /// Takes in what an engine tells.
+    /// Applies one event of an engine.
     pub(super) fn on_event(&mut self, engine: usize, event: EngineEvent) {
         match event {
             EngineEvent::FirstToken { attempt, at, cached } => {
@@ -17,7 +17,7 @@
             EngineEvent::Prefilled { attempt, cached, .. } => self.on_prefilled(attempt, cached),
             EngineEvent::Finished { attempt, at, .. } => self.on_finished(engine, attempt, at),
             EngineEvent::Cut { attempt, cause, .. } => {
-                assert_eq!(cause, CutCause::Crash, "a planned change cut a request");
+                assert_eq!(cause, CutCause::Crash, "a planned change interrupted a request");
                 if let Some(index) = self.current(attempt) {
                     self.retry(index, engine);
                 }
@@ -29,7 +29,7 @@
 
     fn on_first_token(&mut self, engine: usize, attempt: AttemptId, at: Millis, cached: Tokens) {
         let Some(index) = self.current(attempt) else { return };
-        let at = at + self.way_back(index, engine);
+        let at = at + self.delay_to_caller(index, engine);
         self.flights[index].first_at.get_or_insert(at);
         self.count_cached(index, cached);
     }
@@ -45,7 +45,7 @@
 
     fn on_finished(&mut self, engine: usize, attempt: AttemptId, at: Millis) {
         let Some(index) = self.current(attempt) else { return };
-        let at = at + self.way_back(index, engine);
+        let at = at + self.delay_to_caller(index, engine);
         let first_at = self.flights[index].first_at.unwrap_or(at);
         let instance = &self.instances[self.flights[index].instance];
         instance.retries.record_success();
@@ -53,7 +53,7 @@
         self.end(index, Outcome::Answered { first_at, at });
     }
 
-    /// Sends a request again whose engine crashed. Completions are idempotent.
+    /// Resends a request whose engine crashed. Completions are idempotent, so this is safe.
     fn retry(&mut self, index: usize, engine: usize) {
         self.close(index);
         let flight = &mut self.flights[index];
--- a/crates/anvilhook-bench/src/policy/worlds/mod.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/mod.rs
@@ -1,7 +1,7 @@
-//! One run: the core's decisions against the engine stand-in on a manual clock.
+//! Simulates one run: the core's decisions against the engine stand-in on a manual clock.
 //!
-//! Instances, engines and the plain service are plain values; a delay stands for the way between
-//! them. The clock moves in ticks, and what is due within a tick happens in the order of its times.
+//! Instances, engines and the plain service are plain values, and a fixed delay replaces the network
+//! between them. The clock moves in ticks. Timers that are due within a tick fire in order of time.
 
 mod engine_changes;
 mod engine_events;
@@ -29,10 +29,10 @@
 use requests::Flight;
 use timers::{Timer, Timers};
 
-/// The clock's tick.
+/// The step of the manual clock.
 const TICK: Millis = Millis(10);
 
-/// How much later each instance polls first than the one before, so that they don't poll in step.
+/// The delay between the first polls of successive instances, so that they don't all poll at once.
 const POLL_OFFSET: Millis = Millis(61);
 
 /// Runs a policy on a workload.
@@ -44,7 +44,7 @@
     Row::new(workload, policy.name, &world.outcomes, world.totals)
 }
 
-/// `World` is all that a run consists of.
+/// `World` holds the complete state of a run.
 struct World<'a> {
     workload: &'a Workload,
     policy: &'a Policy,
@@ -127,14 +127,14 @@
         match timer {
             Timer::Arrive(request) => self.arrive(request),
             Timer::Submit { request, attempt } => self.submit(request, attempt),
-            Timer::Again(request) => self.dispatch(request),
-            Timer::Deadline(request) => self.give_up(request),
+            Timer::Retry(request) => self.dispatch(request),
+            Timer::Deadline(request) => self.abandon(request),
             Timer::PlainDone { instance, upstream } => {
                 self.instances[instance].plain[upstream].end(Work::default());
             }
             Timer::Poll(instance) => self.poll(instance),
             Timer::Digest(instance) => self.send_digest(instance),
-            Timer::Seen => self.share_work_seen(),
+            Timer::Seen => self.share_observed_work(),
             Timer::Plan => self.plan(),
             Timer::Fault { engine, index } => self.fault(engine, index),
             Timer::Restart(engine) => self.restart(engine),
--- a/crates/anvilhook-bench/src/policy/worlds/reports.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/reports.rs
@@ -1,4 +1,4 @@
-//! What instances learn of engines and tell each other.
+//! Simulates the reports that instances poll from engines and the digests that they exchange.
 
 use anvilhook_core::roles::ObservedWork;
 use anvilhook_core::units::Millis;
@@ -7,13 +7,13 @@
 use super::timers::Timer;
 use crate::policy::role_control::PLAN_INTERVAL;
 
-/// The time between two readings of an engine's report and cache events by one instance.
+/// The interval at which one instance polls an engine's report and cache events.
 const POLL_INTERVAL: Millis = Millis(500);
 
-/// The time between two digests to peers.
+/// The interval between two digests to peers.
 pub(super) const DIGEST_INTERVAL: Millis = Millis(500);
 
-/// The time between two sums of the work that all instances have seen.
+/// The interval at which the work observed by all instances is summed.
 pub(super) const SEEN_INTERVAL: Millis = Millis(1_000);
 
 impl World<'_> {
@@ -24,7 +24,7 @@
                 view.engines[engine].set_leaving(true);
                 continue;
             };
-            // A report from before a change of role does not undo it.
+            // A report that is older than a role change must not undo the change.
             let state = &view.engines[engine];
             let known = state.role();
             state.apply_report(&report, self.now);
@@ -49,8 +49,8 @@
         self.timers.set(self.now + DIGEST_INTERVAL, Timer::Digest(instance));
     }
 
-    /// Sums up the work seen by all instances, as the last digests tell each of them.
-    pub(super) fn share_work_seen(&mut self) {
+    /// Sums the work observed by all instances, which each of them learns from the digests.
+    pub(super) fn share_observed_work(&mut self) {
         let seen = self.instances.iter().fold(ObservedWork::default(), |sum, instance| {
             sum.plus(instance.meter.take(SEEN_INTERVAL))
         });
--- a/crates/anvilhook-bench/src/policy/worlds/requests.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/requests.rs
@@ -1,4 +1,4 @@
-//! Requests, from their arrival to their outcome.
+//! Simulates requests from their arrival to their outcome.
 
 use anvilhook_core::attempts::AttemptId;
 use anvilhook_core::routing::{Phase, Work};
@@ -13,22 +13,23 @@
 use crate::policy::kinds::Kind;
 use crate::policy::outcomes::Outcome;
 
-/// The time that a KV cache takes from one engine to another, for a thousand prompt tokens.
+/// The transfer time of a KV cache between two engines, per thousand prompt tokens.
 const TRANSFER_MS_PER_1000_TOKENS: u64 = 10;
 
-/// The time that an upstream of the plain service takes for one request.
+/// The time in which an upstream of the plain service runs one request.
 const PLAIN_SERVICE: Millis = Millis(8);
 
-/// The most attempts at one request.
+/// The maximum number of attempts at one request.
 const MAX_ATTEMPTS: u8 = 6;
 
-/// The time before a request that no engine takes is tried again.
-const TRY_AGAIN: Millis = Millis(50);
+/// The delay before a request that no engine accepted is retried.
+const RETRY_DELAY: Millis = Millis(50);
 
-/// The bits of an attempt's id that hold its number; those above hold the request's index.
+/// The number of low bits of an attempt's ID that hold the attempt number. The bits above hold the
+/// request's index.
 const ATTEMPT_BITS: u32 = u8::BITS;
 
-/// `Flight` is how far a request has come.
+/// `Flight` holds the progress of a request.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Flight {
     pub instance: usize,
@@ -69,12 +70,12 @@
         let instance = self.flights[index].instance;
         let upstream = self.instances[instance].choose_plain(self.policy, request, self.now);
         self.instances[instance].plain[upstream].begin_at(Work::default(), self.now);
-        let way = self.way(instance, upstream);
-        let start = self.plain_free_at[upstream].max(self.now + way);
+        let delay = self.delay(instance, upstream);
+        let start = self.plain_free_at[upstream].max(self.now + delay);
         let done = start + PLAIN_SERVICE;
         self.plain_free_at[upstream] = done;
-        let at = done + way + self.workload.deployment.caller_delay();
-        self.timers.set(done + way, Timer::PlainDone { instance, upstream });
+        let at = done + delay + self.workload.deployment.caller_delay();
+        self.timers.set(done + delay, Timer::PlainDone { instance, upstream });
         self.end(index, Outcome::Answered { first_at: at, at });
     }
 
@@ -86,7 +87,7 @@
         let flight = &self.flights[index];
         let instance = &mut self.instances[flight.instance];
         let decision = if flight.prompt_read {
-            instance.go_on(self.policy, request, &flight.tried, self.now)
+            instance.start_decode(self.policy, request, &flight.tried, self.now)
         } else {
             instance.start(self.policy, request, &flight.tried, self.now)
         };
@@ -94,9 +95,9 @@
             Decision::Send { engine, phase, work } => self.send(index, engine, phase, work),
             Decision::Refuse => self.end(index, Outcome::Refused),
             Decision::Nowhere => {
-                // What was tried may be well again.
+                // The engines that were tried may be healthy again.
                 self.flights[index].tried.clear();
-                self.timers.set(self.now + TRY_AGAIN, Timer::Again(index));
+                self.timers.set(self.now + RETRY_DELAY, Timer::Retry(index));
             }
         }
     }
@@ -118,7 +119,7 @@
             Phase::Decode => Millis(prompt * TRANSFER_MS_PER_1000_TOKENS / 1_000),
             Phase::Whole | Phase::Prefill => Millis::ZERO,
         };
-        let at = self.now + self.way(instance, engine) + transfer;
+        let at = self.now + self.delay(instance, engine) + transfer;
         self.timers.set(at, Timer::Submit { request: index, attempt });
     }
 
@@ -130,14 +131,14 @@
         };
         let work = self.engine_request(index);
         if self.engines[engine].submit(self.now, work).is_err() {
-            // The engine refused it as not run: another one may take it.
+            // The engine refused the request as not run, so another engine may accept it.
             self.close(index);
             self.flights[index].tried.push(engine);
             self.dispatch(index);
         }
     }
 
-    /// Returns what the present attempt at a request sends to its engine.
+    /// Returns the engine request of a request's current attempt.
     fn engine_request(&self, index: usize) -> ModelRequest {
         let request = &self.workload.requests[index];
         let flight = &self.flights[index];
@@ -156,8 +157,8 @@
         }
     }
 
-    /// Gives up at the deadline, as the caller does.
-    pub(super) fn give_up(&mut self, index: usize) {
+    /// Abandons a request at its deadline, as its caller does.
+    pub(super) fn abandon(&mut self, index: usize) {
         if self.flights[index].ended {
             return;
         }
@@ -176,7 +177,7 @@
         self.outcomes[index] = outcome;
     }
 
-    /// Takes the present attempt at a request out of what its instance has in flight.
+    /// Removes a request's current attempt from the open work of its instance.
     pub(super) fn close(&mut self, index: usize) {
         let flight = &mut self.flights[index];
         if let Some(engine) = flight.open_at.take() {
@@ -184,24 +185,24 @@
         }
     }
 
-    /// Returns the request of an attempt, if it is the present one at it.
+    /// Returns the index of an attempt's request if it is that request's current attempt.
     pub(super) fn current(&self, attempt: AttemptId) -> Option<usize> {
         let (index, number) = ((attempt.0 >> ATTEMPT_BITS) as usize, attempt.0 as u8);
         let flight = &self.flights[index];
         (flight.attempt == number && !flight.ended).then_some(index)
     }
 
-    /// Returns the time from an instance to an upstream, or back.
-    fn way(&self, instance: usize, upstream: usize) -> Millis {
+    /// Returns the one-delay delay between an instance and an upstream.
+    fn delay(&self, instance: usize, upstream: usize) -> Millis {
         let apart = self.instances[instance].zone != upstream % Deployment::ZONES;
         let delay_ms = if apart { self.workload.deployment.zone_delay_ms() } else { 0.0 };
         Millis(delay_ms.ceil() as u64)
     }
 
-    /// Returns the time from an engine by way of the instance to the request's caller.
-    pub(super) fn way_back(&self, index: usize, engine: usize) -> Millis {
-        let way = self.way(self.flights[index].instance, engine);
-        way + self.workload.deployment.caller_delay()
+    /// Returns the delay from an engine through the instance to the request's caller.
+    pub(super) fn delay_to_caller(&self, index: usize, engine: usize) -> Millis {
+        let delay = self.delay(self.flights[index].instance, engine);
+        delay + self.workload.deployment.caller_delay()
     }
 }
 
