--- a/crates/anvilhook-bench/src/control/controllers.rs
+++ b/crates/anvilhook-bench/src/control/controllers.rs
@@ -1,4 +1,4 @@
-//! One instance's part in the authority over engines, wired as in the daemon.
+//! Runs one instance's part of the authority over engines, wired as in the daemon.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,15 +20,15 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::sync::watch;
 
-/// The time between two steps of a keeper.
-const STEP: Duration = Duration::from_millis(250);
+/// The interval between two steps of a controller.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
 
-/// `AckBoard` holds what one instance acknowledges.
+/// `AckBoard` holds the acknowledgements of one instance and publishes them to its peers.
 #[derive(Debug)]
 pub(super) struct AckBoard {
     peers: PeerHandle,
     section: Mutex<AckSection>,
-    // The generation of a drain that the bench has every instance acknowledge; zero for none.
+    // The generation of the drain that the bench makes every instance acknowledge, or zero for none.
     drill: AtomicU64,
 }
 
@@ -37,13 +37,13 @@
         Self { peers, section: Mutex::default(), drill: AtomicU64::new(0) }
     }
 
-    /// Changes what the keeper or the follower acknowledges.
+    /// Changes the acknowledgements of the controller or the follower and publishes them.
     fn change(&self, change: impl FnOnce(&mut AckSection)) {
         change(&mut self.section.lock().unwrap_or_else(PoisonError::into_inner));
         self.publish();
     }
 
-    /// Acknowledges a drain of the bench's own.
+    /// Acknowledges the drain that the bench uses for its measurement.
     pub(super) fn drill(&self, generation: u64) {
         self.drill.store(generation, Ordering::SeqCst);
         self.publish();
@@ -61,8 +61,9 @@
     }
 }
 
-/// `DrainTask` runs an instance's follower of drains. It is a task of its own, as in the daemon: with
-/// the table out of reach each of its polls takes a time-out, which the keeper must not wait for.
+/// `DrainTask` runs an instance's follower of drains. It is a separate task, as in the daemon, because
+/// each poll runs into its timeout while the table is unreachable, and the controller must not wait for
+/// that.
 pub(super) struct DrainTask {
     pub(super) me: InstanceName,
     pub(super) platform: HttpPlatform,
@@ -77,7 +78,7 @@
         let mut follower = Follower::new(self.me, self.platform, AckSchedule::default());
         let pause = mark_pause(self.instances);
         loop {
-            // What is known of the marks holds on when the table cannot be read.
+            // The known drain marks stay valid while the table cannot be read.
             let _ = follower.poll().await;
             let _ = follower.acknowledge(self.clock.now(), |_| 0).await;
             let mut drains = Vec::new();
@@ -94,7 +95,7 @@
     }
 }
 
-/// `ControllerTask` runs an instance's keeper.
+/// `ControllerTask` runs an instance's controller.
 pub(super) struct ControllerTask {
     pub(super) me: InstanceName,
     pub(super) platform: HttpPlatform,
@@ -106,7 +107,7 @@
 }
 
 impl ControllerTask {
-    /// Runs until it is told to stop, and then gives up what it holds.
+    /// Runs until it is signalled to stop, and then releases the pools that it holds.
     pub(super) async fn run(mut self) -> eyre::Result<()> {
         let client = HttpClient::try_new(&ClientOptions::default())?;
         let mut rng = ChaCha8Rng::try_from_rng(&mut SysRng)?;
@@ -119,21 +120,21 @@
             instances: self.platform.clone(),
             clock: self.clock,
         };
-        let mut keeper = Controller::new(self.me.clone(), services, options);
-        let mut beat = tokio::time::interval(STEP);
+        let mut controller = Controller::new(self.me.clone(), services, options);
+        let mut ticker = tokio::time::interval(STEP_INTERVAL);
         loop {
             tokio::select! {
-                _ = beat.tick() => {}
+                _ = ticker.tick() => {}
                 _ = self.stopping.wait_for(|stopping| *stopping) => break,
             }
             let plans = Arc::clone(&self.plans.borrow());
             let hints = peer_hints(&self.peers);
-            keeper.step(&plans, &hints, WallTime::default()).await;
+            controller.step(&plans, &hints, WallTime::default()).await;
             let term = |(pool, term)| TermAck { pool, term, holder: self.me.clone() };
-            let terms = keeper.terms().into_iter().map(term).collect();
+            let terms = controller.terms().into_iter().map(term).collect();
             self.acks.change(|section| section.terms = terms);
         }
-        keeper.stop().await?;
+        controller.stop().await?;
         Ok(())
     }
 }
--- a/crates/anvilhook-bench/src/control/engines.rs
+++ b/crates/anvilhook-bench/src/control/engines.rs
@@ -1,4 +1,5 @@
-//! The engines under authority: a pool that checks fencing numbers, and one that does not.
+//! The engines that the instances control: one pool that checks fencing numbers, and one that ignores
+//! them.
 
 use std::sync::Arc;
 
@@ -9,10 +10,10 @@
 use anvilhook_standin::engines::{EngineOptions, EngineServer, EngineServerOptions};
 use tokio::sync::watch;
 
-/// The engines of one pool.
+/// The number of engines in a pool.
 const ENGINES: usize = 6;
 
-/// `EnginePool` is one kind of engines.
+/// `EnginePool` holds engines that treat fencing numbers alike.
 pub(super) struct EnginePool {
     pub(super) fencing: Fencing,
     engines: Vec<EngineServer>,
@@ -20,7 +21,7 @@
 }
 
 impl EnginePool {
-    /// Starts a pool's engines on the present runtime.
+    /// Starts a pool's engines on the current runtime.
     async fn start(fencing: Fencing) -> eyre::Result<Self> {
         let mut engines = Vec::new();
         for _ in 0..ENGINES {
@@ -60,8 +61,8 @@
     }
 
     fn plan(&self) -> eyre::Result<PoolPlan> {
-        // An adapter is loaded beside the model and needs no drain, so that the time to the order
-        // is that of the take-over alone.
+        // An adapter is loaded alongside the model without a drain, so the time to the order is the
+        // time of the take-over alone.
         let adapter = |number: u32| -> eyre::Result<Order> {
             Ok(Order::LoadAdapter { adapter: format!("adapter-{number}").parse()? })
         };
@@ -87,18 +88,18 @@
     }
 }
 
-/// `Engines` holds the pools and what is wanted of them.
+/// `Engines` holds the pools and the plans for them.
 pub(super) struct Engines {
     pub(super) pools: [EnginePool; 2],
     plans: watch::Sender<Arc<Vec<PoolPlan>>>,
 }
 
 impl Engines {
-    /// Starts both pools on the present runtime.
+    /// Starts both pools on the current runtime.
     ///
     /// # Errors
     ///
-    /// The socket's error if an address cannot be bound.
+    /// Returns the socket's error if an address cannot be bound.
     pub(super) async fn start() -> eyre::Result<Self> {
         let checks = EnginePool::start(Fencing::Checks).await?;
         let ignores = EnginePool::start(Fencing::Ignores).await?;
@@ -107,24 +108,24 @@
         Ok(engines)
     }
 
-    /// Returns the plans that all instances go by.
+    /// Returns a receiver of the plans that all instances follow.
     pub(super) fn plans(&self) -> watch::Receiver<Arc<Vec<PoolPlan>>> {
         self.plans.subscribe()
     }
 
-    /// Wants one more adapter of every engine.
+    /// Adds one more adapter to the plan of every engine.
     ///
     /// # Errors
     ///
-    /// If a name cannot be made.
-    pub(super) fn want_adapter(&mut self) -> eyre::Result<()> {
+    /// Returns an error if a name is invalid.
+    pub(super) fn add_adapter(&mut self) -> eyre::Result<()> {
         for pool in &mut self.pools {
             pool.adapters += 1;
         }
         self.publish()
     }
 
-    /// Returns whether every engine has been ordered all that is wanted.
+    /// Returns whether every engine has accepted the orders for all its planned adapters.
     pub(super) fn are_settled(&self) -> bool {
         self.pools.iter().all(|pool| pool.ordered_adapters() >= pool.adapters as usize)
     }
--- a/crates/anvilhook-bench/src/control/fleets.rs
+++ b/crates/anvilhook-bench/src/control/fleets.rs
@@ -1,4 +1,4 @@
-//! A fleet of instances' control parts, and the platform's stand-in that they share.
+//! Runs a fleet of instances' control parts and the platform stand-in that they share.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,39 +22,39 @@
 use super::instances::{ControlInstance, Surroundings, listen};
 use super::processes::{CONTROL_THREAD, PLATFORM_THREAD};
 
-/// The threads that the instances share, beside one for each peer link.
+/// The number of threads that the instances share, in addition to one for each peer link.
 const CONTROL_THREADS: usize = 4;
-/// The stand-in's threads.
+/// The number of the stand-in's threads.
 const PLATFORM_THREADS: usize = 2;
 
-/// How late the platform's list shows that an instance is gone.
+/// The delay until the instance list shows that an instance has terminated.
 const LIST_LAG: Millis = Millis(5_000);
 
-/// A guard against a fleet that never gets ready.
-const READY_GUARD: Duration = Duration::from_secs(60);
+/// The time limit for the fleet to become ready.
+const READY_LIMIT: Duration = Duration::from_secs(60);
 
-/// How often something that is waited for is looked at.
-pub(super) const LOOK: Duration = Duration::from_millis(5);
+/// The interval at which a condition that is waited for is checked.
+pub(super) const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// `Fleet` is the instances under measurement.
+/// `Fleet` holds the instances under measurement.
 pub(super) struct Fleet {
     pub(super) instances: Vec<ControlInstance>,
     pub(super) platform: LocalPlatform<SystemClock>,
     pub(super) control: Runtime,
     pub(super) engines: Engines,
-    // The instances' views of the platform, each with faults of its own.
+    // The instances' views of the platform, each with separate faults.
     pub(super) views: Vec<LocalPlatform<SystemClock>>,
     servers: Vec<PlatformServer>,
-    // The stand-ins end with their runtime.
+    // The stand-ins stop when their runtime is dropped.
     platform_runtime: Runtime,
 }
 
 impl Fleet {
-    /// Starts the platform's stand-in and the instances, and declares the resources.
+    /// Starts the platform stand-in and the instances, and declares the resources.
     ///
     /// # Errors
     ///
-    /// Any failure to start a part or to make a change.
+    /// Returns an error if a part cannot be started or a change is not accepted.
     pub(super) fn start(size: usize, resources: usize) -> eyre::Result<Self> {
         let platform_runtime = runtime(PLATFORM_THREAD, PLATFORM_THREADS)?;
         let control = runtime(CONTROL_THREAD, CONTROL_THREADS)?;
@@ -72,17 +72,17 @@
         };
         fleet.start_instances(size)?;
         fleet.declare(resources)?;
-        // The limits of the users' table hold for what is measured, not for the preparation.
+        // The rate limits of the users' table apply to the measurement, not to its preparation.
         fleet.platform.faults().set_rate_limits(Some(RateLimits::default()));
         fleet.wait_until_linked()?;
         Ok(fleet)
     }
 
     fn start_instances(&mut self, size: usize) -> eyre::Result<()> {
-        let places = (0..size).map(listen).collect::<eyre::Result<Vec<_>>>()?;
+        let listeners = (0..size).map(listen).collect::<eyre::Result<Vec<_>>>()?;
         let announced: Vec<PeerAddress> =
-            places.iter().map(|(address, _)| address.clone()).collect();
-        for (address, listener) in places {
+            listeners.iter().map(|(address, _)| address.clone()).collect();
+        for (address, listener) in listeners {
             self.start_instance(address, listener, announced.clone())?;
         }
         Ok(())
@@ -94,7 +94,7 @@
         listener: std::net::TcpListener,
         announced: Vec<PeerAddress>,
     ) -> eyre::Result<()> {
-        let place = self.instances.len();
+        let index = self.instances.len();
         let view = self.platform.for_caller(address.name.as_str());
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let serving = PlatformServer::start(any_port, view.clone());
@@ -103,7 +103,7 @@
             platform: server.address(),
             announced,
             plans: self.engines.plans(),
-            place,
+            index,
         };
         let entered = self.control.enter();
         let instance = ControlInstance::start(address, listener, surroundings)?;
@@ -111,14 +111,14 @@
         self.views.push(view);
         self.servers.push(server);
         self.instances.push(instance);
-        self.list(place, ListedState::Live)
+        self.list(index, ListedState::Live)
     }
 
-    /// Starts one more instance and announces it to all.
+    /// Starts one more instance and announces it to all others.
     ///
     /// # Errors
     ///
-    /// Any failure to start a part.
+    /// Returns an error if a part cannot be started.
     pub(super) fn start_late_instance(&mut self) -> eyre::Result<()> {
         let (address, listener) = listen(self.instances.len())?;
         let mut announced = self.addresses();
@@ -130,20 +130,20 @@
         Ok(())
     }
 
-    /// Returns the lines of the platform's list as the instances see it.
+    /// Returns the entries of the instance list as the instances see it.
     ///
     /// # Errors
     ///
-    /// If the list cannot be read.
+    /// Returns an error if the list cannot be read.
     pub(super) fn listed(&self) -> eyre::Result<Vec<ListedInstance>> {
         Ok(self.control.block_on(self.platform.list())?)
     }
 
-    /// Has the platform list an instance in a state. The list shows it after its lag.
+    /// Sets the state of an instance in the instance list, which shows it after [`LIST_LAG`].
     ///
     /// # Errors
     ///
-    /// If the instance's name cannot be listed.
+    /// Returns an error if the list does not accept the instance's name.
     pub(super) fn list(&self, at: usize, state: ListedState) -> eyre::Result<()> {
         let PeerAddress { name, zone, address } = self.instances[at].address.clone();
         let name = name.as_str().parse()?;
@@ -151,11 +151,11 @@
         Ok(())
     }
 
-    /// Makes the peer links stand, or takes them down.
+    /// Establishes the peer links, or takes them down.
     ///
     /// # Errors
     ///
-    /// If the links do not follow.
+    /// Returns an error if the links are not up or down within the time limit.
     pub(super) fn set_linked(&self, linked: bool) -> eyre::Result<()> {
         let announced = if linked { self.addresses() } else { Vec::new() };
         for instance in &self.instances {
@@ -168,7 +168,7 @@
     ///
     /// # Errors
     ///
-    /// If the change is not accepted.
+    /// Returns an error if the change is not accepted.
     pub(super) fn change(&self, at: usize, number: usize) -> eyre::Result<Revision> {
         self.control.block_on(change(&self.instances[at].follower, number))
     }
@@ -182,23 +182,23 @@
         for number in 0..resources {
             last = self.change(0, number)?;
         }
-        self.wait_until(|instance| instance.in_force_at(last).is_some())
+        self.wait_until(|instance| instance.applied_at(last).is_some())
     }
 
     fn wait_until_linked(&self) -> eyre::Result<()> {
-        let fewest = 2.min(self.instances.len() - 1);
-        self.wait_until(|instance| links(instance) >= fewest)
+        let min_links = 2.min(self.instances.len() - 1);
+        self.wait_until(|instance| links(instance) >= min_links)
     }
 
-    fn wait_until(&self, met: impl Fn(&ControlInstance) -> bool) -> eyre::Result<()> {
-        let waiting = async {
-            while !self.instances.iter().all(&met) {
-                tokio::time::sleep(LOOK).await;
+    fn wait_until(&self, condition: impl Fn(&ControlInstance) -> bool) -> eyre::Result<()> {
+        let all_met = async {
+            while !self.instances.iter().all(&condition) {
+                tokio::time::sleep(CHECK_INTERVAL).await;
             }
         };
         self.control
-            .block_on(async { tokio::time::timeout(READY_GUARD, waiting).await })
-            .wrap_err("the fleet did not get ready")
+            .block_on(async { tokio::time::timeout(READY_LIMIT, all_met).await })
+            .wrap_err("the fleet did not become ready in time")
     }
 }
 
@@ -220,7 +220,7 @@
     number: usize,
 ) -> eyre::Result<Revision> {
     let key = ResourceKey { kind: Kind::Account, name: format!("account-{number}").parse()? };
-    let standing = follower.current().get(&key).map(|resource| resource.version);
+    let version = follower.current().get(&key).map(|resource| resource.version);
     let spec = AccountSpec {
         token_sha256: vec![format!("{number:064x}")],
         requests_per_s: 10 + follower.revision().0 as u32,
@@ -231,7 +231,7 @@
         subject: "bench".parse()?,
         at: WallTime::default(),
         change: Change { key, action: Action::Put(Spec::Account(spec)) },
-        expected: standing.map_or(Expected::Absent, Expected::Version),
+        expected: version.map_or(Expected::Absent, Expected::Version),
     };
     Ok(follower.change(&req).await?.revision)
 }
--- a/crates/anvilhook-bench/src/control/instances.rs
+++ b/crates/anvilhook-bench/src/control/instances.rs
@@ -1,4 +1,4 @@
-//! The control parts of one instance, wired as in the daemon.
+//! Runs the control parts of one instance, wired as in the daemon.
 
 use std::net::{SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -20,32 +20,33 @@
 
 use super::controllers::{AckBoard, ControllerTask, DrainTask};
 
-/// The key of the measured links.
+/// The shared key of the measured peer links.
 const KEY: &[u8] = b"the key of the control bench, 32+";
 
-/// The fleet's reads of the head in a second, and the bounds of one instance's interval.
+/// The whole fleet's reads of the configuration head per second, and the bounds of one instance's
+/// interval.
 const FLEET_READS_PER_S: u64 = 200;
 const MIN_POLL: Millis = Millis(500);
 const MAX_POLL: Millis = Millis(2_500);
 
-/// The least time between two reports of the revision in force.
+/// The minimum time between two reports of the applied revision.
 const REPORT_INTERVAL: Millis = Millis(5_000);
 
-/// The time between two readings of the platform's list, and of the instances' records.
-const LIST_PAUSE: Duration = Duration::from_secs(1);
-const DIRECTORY_PAUSE: Duration = Duration::from_secs(5);
+/// The intervals between two reads of the instance list, and of the instances' records.
+const LIST_INTERVAL: Duration = Duration::from_secs(1);
+const DIRECTORY_INTERVAL: Duration = Duration::from_secs(5);
 
-/// The engines that one instance uses and the accounts that it meets, for its digests.
+/// The numbers of engines and of accounts in one instance's digests.
 const ENGINES: usize = 24;
 const ACCOUNTS: usize = 16;
 
-/// How often an instance looks whether a report is due, and writes new digests.
-const BEAT: Duration = Duration::from_millis(1_000);
+/// The interval at which an instance checks whether a report is due and publishes new digests.
+const TICK_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// `Arrivals` is when each revision came into force on one instance.
+/// `Arrivals` lists the time at which each revision was applied on one instance.
 type Arrivals = Arc<Mutex<Vec<(Revision, Instant)>>>;
 
-/// `ControlInstance` is one instance without its callers and engines.
+/// `ControlInstance` is one instance without callers and without request routing.
 pub(super) struct ControlInstance {
     pub(super) follower: ConfigurationFollower<HttpPlatform>,
     pub(super) peers: PeerHandle,
@@ -54,20 +55,20 @@
     arrivals: Arrivals,
     acks: Arc<AckBoard>,
     stopping: watch::Sender<bool>,
-    // Dropping it ends the instance's tasks.
+    // Dropping the set aborts the instance's tasks.
     tasks: JoinSet<()>,
 }
 
-/// `Surroundings` is what an instance finds when it starts.
+/// `Surroundings` holds what an instance needs from its fleet when it starts.
 pub(super) struct Surroundings {
     pub(super) platform: SocketAddr,
     pub(super) announced: Vec<PeerAddress>,
     pub(super) plans: watch::Receiver<Arc<Vec<PoolPlan>>>,
-    /// The instance's place among the others, by which polls are spread.
-    pub(super) place: usize,
+    /// The instance's index in the fleet, by which polls are spread over time.
+    pub(super) index: usize,
 }
 
-/// Returns where an instance of a fleet listens, and the listener.
+/// Binds a listener for an instance of a fleet and returns it with the instance's address.
 pub(super) fn listen(at: usize) -> eyre::Result<(PeerAddress, TcpListener)> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let zone = format!("zone-{}", at % 3).parse()?;
@@ -76,17 +77,18 @@
 }
 
 impl ControlInstance {
-    /// Starts an instance among the announced ones. Must be called within the instances' runtime.
+    /// Starts an instance as a peer of the announced ones. Must be called within the instances'
+    /// runtime.
     ///
     /// # Errors
     ///
-    /// Any failure to start a part.
+    /// Returns an error if a part cannot be started.
     pub(super) fn start(
         address: PeerAddress,
         listener: TcpListener,
         surroundings: Surroundings,
     ) -> eyre::Result<Self> {
-        let Surroundings { platform, announced, plans, place } = surroundings;
+        let Surroundings { platform, announced, plans, index } = surroundings;
         let table = HttpPlatform::try_new(platform, &HttpPlatformOptions::default())?;
         let store = ConfigurationStore::new(table.clone(), StoreOptions::new(address.name.clone()));
         let follower = ConfigurationFollower::new(store);
@@ -96,13 +98,13 @@
         let clock = SystemClock::new();
         let peers = PeerLink::start(options, listener, announced, clock)?;
         let arrivals = Arrivals::default();
-        let keeper_table = table.clone();
+        let platform_table = table.clone();
 
         let mut tasks = JoinSet::new();
         let interval = poll_interval(count, FLEET_READS_PER_S, MIN_POLL..=MAX_POLL);
-        let offset = Millis(interval.0 * place as u64 / count as u64);
+        let offset = Millis(interval.0 * index as u64 / count as u64);
         tasks.spawn(poll(follower.clone(), interval, offset));
-        tasks.spawn(take_from_peers(follower.clone(), peers.clone()));
+        tasks.spawn(offer_from_peers(follower.clone(), peers.clone()));
         tasks.spawn(watch(follower.clone(), peers.clone(), Arc::clone(&arrivals)));
         tasks.spawn(report(
             follower.clone(),
@@ -110,22 +112,22 @@
             address.clone(),
             count,
         ));
-        tasks.spawn(tell_digests(peers.clone()));
-        tasks.spawn(watch_list(keeper_table.clone()));
-        tasks.spawn(read_records(keeper_table.clone()));
+        tasks.spawn(publish_digests(peers.clone()));
+        tasks.spawn(watch_list(platform_table.clone()));
+        tasks.spawn(read_records(platform_table.clone()));
         let acks = Arc::new(AckBoard::new(peers.clone()));
         let stopping = watch::Sender::new(false);
         let drains = DrainTask {
             me: address.name.clone(),
-            platform: keeper_table.clone(),
+            platform: platform_table.clone(),
             clock,
             acks: Arc::clone(&acks),
             instances: count,
         };
         tasks.spawn(drains.run());
-        let keeper = ControllerTask {
+        let controller = ControllerTask {
             me: address.name.clone(),
-            platform: keeper_table,
+            platform: platform_table,
             clock,
             peers: peers.clone(),
             acks: Arc::clone(&acks),
@@ -133,63 +135,63 @@
             stopping: stopping.subscribe(),
         };
         tasks.spawn(async move {
-            if let Err(err) = keeper.run().await {
-                log::warn!("a keeper ended: {err}");
+            if let Err(err) = controller.run().await {
+                log::warn!("a controller failed: {err}");
             }
         });
         Ok(Self { follower, peers, address, clock, arrivals, acks, stopping, tasks })
     }
 
-    /// Returns when a revision or a later one came into force here, if it has.
-    pub(super) fn in_force_at(&self, revision: Revision) -> Option<Instant> {
+    /// Returns the time at which this instance applied a revision or a later one, if it has.
+    pub(super) fn applied_at(&self, revision: Revision) -> Option<Instant> {
         let arrivals = self.arrivals.lock().unwrap_or_else(PoisonError::into_inner);
         arrivals.iter().find(|(arrived, _)| *arrived >= revision).map(|(_, at)| *at)
     }
 
-    /// Acknowledges one drain.
+    /// Acknowledges the bench's drain.
     pub(super) fn acknowledge(&self, generation: u64) {
         self.acks.drill(generation);
     }
 
-    /// Asks the keeper to give up what it holds.
-    pub(super) fn stop_keeping(&self) {
+    /// Signals the controller to release its pools and stop.
+    pub(super) fn stop_controller(&self) {
         self.stopping.send_replace(true);
     }
 
-    /// Ends all tasks at once, as when the process is killed.
+    /// Aborts all tasks at once, as if the process were killed.
     pub(super) fn kill(&mut self) {
         self.tasks.abort_all();
         self.peers.stop();
     }
 
-    /// Returns how many others' account demand is known here that is no older than `max_age`.
+    /// Returns the number of peers whose account demand is known here and no older than `max_age`.
     pub(super) fn fresh_demand(&self, max_age: Millis) -> usize {
         let now = self.clock.now();
-        let news = self.peers.view();
-        news.demand.values().filter(|heard| heard.age_at(now) <= max_age).count()
+        let view = self.peers.view();
+        view.demand.values().filter(|received| received.age_at(now) <= max_age).count()
     }
 
-    /// Returns how many others have acknowledged a drain, as far as this instance has heard.
+    /// Returns the number of peers whose acknowledgement of a drain this instance has received.
     pub(super) fn acknowledged(&self, generation: u64) -> usize {
-        let news = self.peers.view();
+        let view = self.peers.view();
         let has = |acks: &AckSection| acks.drains.iter().any(|ack| ack.generation == generation);
-        news.acks.values().filter(|heard| has(&heard.body)).count()
+        view.acks.values().filter(|received| has(&received.body)).count()
     }
 }
 
-/// Reads the head of the configuration from time to time.
+/// Polls the head of the configuration periodically.
 async fn poll(follower: ConfigurationFollower<HttpPlatform>, interval: Millis, offset: Millis) {
-    // Instances that start together do not read together.
+    // The offset keeps instances that start together from reading at the same time.
     tokio::time::sleep(offset.as_duration()).await;
     loop {
-        // What is in force stays in force when the table cannot be read.
+        // The applied configuration stays active when the table cannot be read.
         let _ = follower.poll_once().await;
         tokio::time::sleep(interval.as_duration()).await;
     }
 }
 
-/// Offers the follower what peers hold.
-async fn take_from_peers(follower: ConfigurationFollower<HttpPlatform>, peers: PeerHandle) {
+/// Offers the configurations received from peers to the follower.
+async fn offer_from_peers(follower: ConfigurationFollower<HttpPlatform>, peers: PeerHandle) {
     let mut newest = peers.configurations();
     while newest.changed().await.is_ok() {
         let offered = newest.borrow_and_update().clone();
@@ -199,14 +201,14 @@
     }
 }
 
-/// Hands what comes into force to the peers and notes the time.
+/// Publishes each applied configuration to the peers and records the time.
 async fn watch(
     follower: ConfigurationFollower<HttpPlatform>,
     peers: PeerHandle,
     arrivals: Arrivals,
 ) {
     let mut revisions = follower.subscribe();
-    // What came into force before this task began counts too.
+    // A revision that was applied before this task started is handled as well.
     revisions.mark_changed();
     while revisions.changed().await.is_ok() {
         let revision = *revisions.borrow_and_update();
@@ -216,7 +218,7 @@
     }
 }
 
-/// Reports the revision in force to the table.
+/// Reports the applied revision to the table.
 async fn report(
     follower: ConfigurationFollower<HttpPlatform>,
     directory: InstanceDirectory<HttpPlatform>,
@@ -225,9 +227,9 @@
 ) {
     let clock = SystemClock::new();
     let mut schedule = ReportSchedule::new(&address.name, REPORT_INTERVAL);
-    let mut beat = tokio::time::interval(BEAT);
+    let mut ticker = tokio::time::interval(TICK_INTERVAL);
     loop {
-        beat.tick().await;
+        ticker.tick().await;
         let revision = follower.revision();
         if !schedule.is_due(clock.now(), revision, instances) {
             continue;
@@ -246,32 +248,32 @@
     }
 }
 
-/// Reads the platform's list for upstreams that leave.
+/// Polls the instance list, as the daemon does to find upstreams that leave.
 async fn watch_list(platform: HttpPlatform) {
     loop {
-        // Only the cost of reading is of interest here.
+        // The content is not used, since only the cost of reading is measured.
         let _ = platform.list().await;
-        tokio::time::sleep(LIST_PAUSE).await;
+        tokio::time::sleep(LIST_INTERVAL).await;
     }
 }
 
-/// Reads the instances' records twice in each pause, once to find peers and once, with the list, to
-/// forget those that are gone.
+/// Reads the instances' records twice per interval: once to find peers and once, together with the
+/// instance list, to remove those that have terminated.
 async fn read_records(platform: HttpPlatform) {
     let directory = InstanceDirectory::new(platform.clone());
     loop {
         let _ = directory.list().await;
         let _ = platform.list().await;
         let _ = directory.list().await;
-        tokio::time::sleep(DIRECTORY_PAUSE).await;
+        tokio::time::sleep(DIRECTORY_INTERVAL).await;
     }
 }
 
-/// Tells the peers digests of a usual size.
-async fn tell_digests(peers: PeerHandle) {
-    let mut beat = tokio::time::interval(BEAT);
+/// Publishes digests of a typical size to the peers.
+async fn publish_digests(peers: PeerHandle) {
+    let mut ticker = tokio::time::interval(TICK_INTERVAL);
     for seq in 1.. {
-        beat.tick().await;
+        ticker.tick().await;
         let engine = |at: usize| EngineDigest {
             engine: format!("runner-{at}").parse().expect("a name"),
             boot: 1,
--- a/crates/anvilhook-bench/src/control/mod.rs
+++ b/crates/anvilhook-bench/src/control/mod.rs
@@ -1,8 +1,9 @@
-//! The cost and the speed of control: many instances' control parts in one process.
+//! Bench of the control plane. Measures its cost and its delays with the control parts of many
+//! instances in one process.
 //!
-//! Each instance follows the configuration over HTTP against the platform's stand-in, reports its
-//! revision, and runs its peer link over the loopback, as the daemon does. Time in force counts from
-//! the moment at which the change was accepted.
+//! Each instance follows the configuration over HTTP from the platform stand-in, reports its
+//! revision, and runs its peer link over the loopback interface, as the daemon does. The time until a
+//! change is applied is measured from the moment at which it was accepted.
 
 mod controllers;
 mod engines;
@@ -21,7 +22,7 @@
 use sizes::print_sizes;
 use takeovers::run_takeovers;
 
-/// The numbers of instances that are measured if none are given.
+/// The default numbers of instances.
 const SIZES: [usize; 4] = [3, 9, 27, 81];
 
 /// Measure how long a change takes to be in force everywhere, and what control costs an instance.
@@ -57,7 +58,7 @@
 ///
 /// # Errors
 ///
-/// Any failure to start the parts, or a change that is not in force everywhere in time.
+/// Returns an error if a part cannot be started or a change is not applied on all instances in time.
 pub fn run(args: &Args) -> eyre::Result<()> {
     let sizes = if args.instances.is_empty() { SIZES.to_vec() } else { args.instances.clone() };
     let plan = Plan { seconds: args.seconds, changes: args.changes, resources: args.resources };
@@ -68,7 +69,7 @@
         let (found, sizes) = run_size(size, &plan, memory_before)?;
         print_rows(&found, args.json)?;
         rows.extend(found);
-        // Those of the largest fleet are printed.
+        // Only the sizes of the last fleet, by default the largest, are printed.
         sizes_of = sizes;
     }
     if !args.no_takeovers {
--- a/crates/anvilhook-bench/src/control/processes.rs
+++ b/crates/anvilhook-bench/src/control/processes.rs
@@ -1,12 +1,12 @@
-//! What this process uses, as the kernel counts it.
+//! Reads the memory and processor time of this process from the kernel.
 
 use std::fs;
 
-/// The size of a page as `statm` counts it, in bytes.
+/// The size of a page in `statm`, in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The names of the threads that do the instances' work. The stand-in's threads are named otherwise,
-/// so that its work does not count as theirs.
+/// The name of the threads that run the instances. The stand-in's threads have another name, so that
+/// their processor time is not counted as the instances'.
 pub(super) const CONTROL_THREAD: &str = "control";
 /// The name of the peer links' threads.
 const PEER_THREAD: &str = "anvilhook-peer";
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 ///
-/// If the kernel does not tell.
+/// Returns an error if the kernel does not report it.
 pub(super) fn resident_bytes() -> eyre::Result<u64> {
     let statm = fs::read_to_string("/proc/self/statm")?;
     let pages = statm.split_whitespace().nth(1).and_then(|field| field.parse::<u64>().ok());
@@ -29,12 +29,12 @@
 ///
 /// # Errors
 ///
-/// If the kernel does not tell.
+/// Returns an error if the kernel does not list the threads.
 pub(super) fn control_cpu_secs() -> eyre::Result<f64> {
     let mut nanos: u64 = 0;
     for task in fs::read_dir("/proc/self/task")? {
         let path = task?.path();
-        // A thread may end between the listing and the reading.
+        // A thread may terminate after it was listed and before its files are read.
         let (Ok(name), Ok(schedstat)) =
             (fs::read_to_string(path.join("comm")), fs::read_to_string(path.join("schedstat")))
         else {
--- a/crates/anvilhook-bench/src/control/rows.rs
+++ b/crates/anvilhook-bench/src/control/rows.rs
@@ -1,46 +1,47 @@
-//! The measured rows and their slopes.
+//! Prints the measured rows and their slopes, and checks them against the bound.
 
 use serde::Serialize;
 
-/// The time within which an accepted change must be in force everywhere.
-const IN_FORCE_BOUND_MS: f64 = 4_000.0;
+/// The maximum time from the acceptance of a change until all instances have applied it.
+const APPLY_BOUND_MS: f64 = 4_000.0;
 
-/// `Row` is what one scenario has shown at one number of instances.
+/// `Row` holds the figures of one scenario at one number of instances.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Row {
-    /// What was done.
+    /// The name of the scenario.
     pub(super) scenario: &'static str,
     /// The number of instances.
     pub(super) instances: usize,
-    /// The median over changes and instances of the time from accepted to in force.
+    /// The median over changes and instances of the time from acceptance until the change is applied.
     pub(super) in_force_p50_ms: Option<f64>,
     /// The longest such time.
     pub(super) in_force_max_ms: Option<f64>,
-    /// The longest time until an instance held all others' acknowledgements of a drain.
+    /// The time until an instance had received all its peers' acknowledgements of a drain.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) acks_max_ms: Option<f64>,
-    /// The time from the end of a holder to its successor's first order to the last of its engines.
+    /// The time from the end of a holder until the last of its engines has accepted its successor's
+    /// first order.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) take_over_ms: Option<f64>,
     /// Reads and scans of the table by all instances.
     pub(super) table_reads_per_s: f64,
     /// Rows written by all instances.
     pub(super) table_writes_per_s: f64,
-    /// Readings of the platform's list by all instances.
+    /// Reads of the instance list by all instances.
     pub(super) list_calls_per_s: f64,
-    /// Bytes received and sent on the peer links, of one instance.
+    /// Bytes received and sent on the peer links of one instance.
     pub(super) peer_bytes_per_s: f64,
     /// The share of one core that one instance uses.
     pub(super) cpu_core_share: f64,
     /// Resident memory of one instance.
     pub(super) rss_bytes: u64,
-    /// The share of the other instances whose load digest an instance holds.
+    /// The share of its peers whose load digest an instance has received.
     pub(super) load_heard_share: f64,
-    /// The share of the other instances whose account demand of the last 3 s an instance holds.
+    /// The share of its peers whose account demand of the last 3 s an instance has received.
     pub(super) demand_heard_share: f64,
 }
 
-/// `Slope` is how a measured value grows with the number of instances, by least squares.
+/// `Slope` describes how a measured value grows with the number of instances, by least squares.
 #[derive(Clone, Debug, Serialize)]
 struct Slope {
     scenario: &'static str,
@@ -53,7 +54,7 @@
 ///
 /// # Errors
 ///
-/// If a row cannot be encoded.
+/// Returns an error if a row cannot be encoded.
 pub(super) fn print_rows(rows: &[Row], json: bool) -> eyre::Result<()> {
     if json {
         for row in rows {
@@ -99,19 +100,19 @@
     Ok(())
 }
 
-/// Checks that changes were in force everywhere in time, also while the table was down.
+/// Checks that all instances applied each change in time, also while the table was down.
 ///
 /// # Errors
 ///
-/// If one was not.
+/// Returns an error for the first row that exceeds the bound.
 pub(super) fn check_bounds(rows: &[Row]) -> eyre::Result<()> {
-    // Without peers and without the table nothing can come into force before the table is back.
+    // Without peers and without the table no change can be applied before the table is back.
     let bounded = rows.iter().filter(|row| row.scenario != "table-down-no-peers");
     for row in bounded {
         let longest = row.in_force_max_ms.unwrap_or_default();
         eyre::ensure!(
-            longest <= IN_FORCE_BOUND_MS,
-            "{} at {} instances: in force everywhere after {longest:.0} ms, expected at most {IN_FORCE_BOUND_MS} ms",
+            longest <= APPLY_BOUND_MS,
+            "{} at {} instances: applied on all instances after {longest:.0} ms, expected at most {APPLY_BOUND_MS} ms",
             row.scenario,
             row.instances
         );
@@ -119,11 +120,11 @@
     Ok(())
 }
 
-/// Prints the slopes of all scenarios that were measured at two sizes or more.
+/// Prints the slopes of all scenarios that were measured at two or more sizes.
 ///
 /// # Errors
 ///
-/// If a slope cannot be encoded.
+/// Returns an error if a slope cannot be encoded.
 pub(super) fn print_slopes(rows: &[Row], json: bool) -> eyre::Result<()> {
     let mut scenarios: Vec<&'static str> = rows.iter().map(|row| row.scenario).collect();
     scenarios.dedup();
--- a/crates/anvilhook-bench/src/control/scenarios.rs
+++ b/crates/anvilhook-bench/src/control/scenarios.rs
@@ -1,4 +1,4 @@
-//! What is done to a fleet while it is measured.
+//! Runs the scenarios on a fleet and measures each of them.
 
 use std::time::{Duration, Instant};
 
@@ -6,21 +6,21 @@
 use anvilhook_standin::platform::{Counts, Reach, Service};
 use eyre::WrapErr;
 
-use super::fleets::{Fleet, LOOK};
+use super::fleets::{CHECK_INTERVAL, Fleet};
 use super::processes::{control_cpu_secs, resident_bytes};
 use super::rows::Row;
 use super::sizes::{Size, measure_sizes};
 
-/// A guard against a change that never comes into force.
-const IN_FORCE_GUARD: Duration = Duration::from_secs(60);
+/// The time limit for a change to be applied, after which the measurement fails.
+const APPLY_LIMIT: Duration = Duration::from_secs(60);
 
-/// How long the table is down after a change has been accepted.
+/// The time for which the table is down after a change has been accepted.
 const OUTAGE: Duration = Duration::from_secs(6);
 
-/// The age up to which account demand counts as heard.
+/// The maximum age of account demand that is counted as received.
 const FRESH_DEMAND: Millis = Millis(3_000);
 
-/// `Plan` is what is asked of each size.
+/// `Plan` holds the parameters of the measurement at each fleet size.
 #[derive(Clone, Debug)]
 pub(super) struct Plan {
     pub(super) seconds: u64,
@@ -32,7 +32,7 @@
 ///
 /// # Errors
 ///
-/// Any failure of a part, or a change that is not in force everywhere within the guard time.
+/// Returns an error if a part fails or a change is not applied on all instances within the time limit.
 pub(super) fn run_size(
     size: usize,
     plan: &Plan,
@@ -41,7 +41,7 @@
     let mut fleet = Fleet::start(size, plan.resources)
         .wrap_err_with(|| format!("a fleet of {size} instances"))?;
     let mut rows = vec![
-        measure("quiet", &fleet, memory_before, || wait_out(plan))?,
+        measure("quiet", &fleet, memory_before, || stay_idle(plan))?,
         measure("peers", &fleet, memory_before, || changes(&fleet, plan))?,
         measure("drain-acks", &fleet, memory_before, || acknowledgements(&fleet, plan))?,
         measure("table-down", &fleet, memory_before, || outage(&fleet))?,
@@ -55,15 +55,15 @@
     Ok((rows, sizes))
 }
 
-/// `Findings` is what a scenario finds out by itself.
+/// `Findings` holds the times that only some scenarios measure.
 #[derive(Debug, Default)]
 pub(super) struct Findings {
-    pub(super) in_force: Vec<Duration>,
+    pub(super) apply_times: Vec<Duration>,
     pub(super) acks: Option<Duration>,
     pub(super) take_over: Option<Duration>,
 }
 
-/// `Usage` is what the fleet has used up to a moment.
+/// `Usage` holds the resources that the fleet has used up to a point in time.
 pub(super) struct Usage {
     at: Instant,
     counts: Counts,
@@ -72,11 +72,11 @@
 }
 
 impl Usage {
-    /// Reads what the fleet has used.
+    /// Reads the fleet's current usage.
     ///
     /// # Errors
     ///
-    /// If the kernel does not tell.
+    /// Returns an error if the kernel does not report the processor time.
     pub(super) fn now(fleet: &Fleet) -> eyre::Result<Self> {
         let peer_bytes = fleet.instances.iter().map(|instance| {
             let counts = instance.peers.counts();
@@ -102,11 +102,11 @@
     row(scenario, fleet, memory_before, &before, findings)
 }
 
-/// Makes the row of a scenario that has just ended.
+/// Creates the row of a scenario that has just ended.
 ///
 /// # Errors
 ///
-/// If the kernel does not tell what was used.
+/// Returns an error if the kernel does not report the usage.
 pub(super) fn row(
     scenario: &'static str,
     fleet: &Fleet,
@@ -119,14 +119,14 @@
     let secs = after.at.duration_since(before.at).as_secs_f64();
     let each = secs * instances as f64;
     let reads = |counts: &Counts| counts.reads + counts.scans;
-    let mut in_force = findings.in_force;
-    in_force.sort_unstable();
-    let (load_heard_share, demand_heard_share) = heard_shares(fleet);
+    let mut apply_times = findings.apply_times;
+    apply_times.sort_unstable();
+    let (load_heard_share, demand_heard_share) = received_shares(fleet);
     Ok(Row {
         scenario,
         instances,
-        in_force_p50_ms: in_force.get(in_force.len() / 2).map(to_ms),
-        in_force_max_ms: in_force.last().map(to_ms),
+        in_force_p50_ms: apply_times.get(apply_times.len() / 2).map(to_ms),
+        in_force_max_ms: apply_times.last().map(to_ms),
         acks_max_ms: findings.acks.as_ref().map(to_ms),
         take_over_ms: findings.take_over.as_ref().map(to_ms),
         table_reads_per_s: (reads(&after.counts) - reads(&before.counts)) as f64 / secs,
@@ -144,8 +144,8 @@
     duration.as_secs_f64() * 1_000.0
 }
 
-/// Returns the mean shares of the others whose load and fresh demand an instance holds.
-fn heard_shares(fleet: &Fleet) -> (f64, f64) {
+/// Returns the mean shares of its peers whose load and whose fresh demand an instance has received.
+fn received_shares(fleet: &Fleet) -> (f64, f64) {
     let pairs = (fleet.instances.len() * (fleet.instances.len() - 1)) as f64;
     let mut load = 0;
     let mut demand = 0;
@@ -156,13 +156,13 @@
     (load as f64 / pairs, demand as f64 / pairs)
 }
 
-/// Leaves the fleet alone.
-fn wait_out(plan: &Plan) -> eyre::Result<Findings> {
+/// Waits for the scenario's time without any change.
+fn stay_idle(plan: &Plan) -> eyre::Result<Findings> {
     std::thread::sleep(Duration::from_secs(plan.seconds));
     Ok(Findings::default())
 }
 
-/// Makes changes on one instance after the other, spread over the scenario's time.
+/// Makes changes on the instances in turn, spread over the scenario's time.
 fn changes(fleet: &Fleet, plan: &Plan) -> eyre::Result<Findings> {
     let mut findings = Findings::default();
     let gap = Duration::from_secs(plan.seconds) / plan.changes.max(1);
@@ -171,7 +171,7 @@
         let at = number % fleet.instances.len();
         let revision = fleet.change(at, number)?;
         let accepted_at = Instant::now();
-        findings.in_force.extend(wait_in_force(fleet, revision, accepted_at)?);
+        findings.apply_times.extend(wait_until_applied(fleet, revision, accepted_at)?);
         std::thread::sleep(gap.saturating_sub(started_at.elapsed()));
     }
     Ok(findings)
@@ -183,38 +183,39 @@
     let accepted_at = Instant::now();
     let faults = fleet.platform.faults();
     faults.set_reach_of(Service::Table, Reach::Refusing);
-    let waker = std::thread::spawn(move || {
+    let restorer = std::thread::spawn(move || {
         std::thread::sleep(OUTAGE);
         faults.set_reach_of(Service::Table, Reach::Up);
     });
-    let in_force = wait_in_force(fleet, revision, accepted_at);
-    waker.join().map_err(|_| eyre::eyre!("the outage did not end"))?;
-    Ok(Findings { in_force: in_force?, ..Findings::default() })
+    let apply_times = wait_until_applied(fleet, revision, accepted_at);
+    restorer.join().map_err(|_| eyre::eyre!("the outage did not end"))?;
+    Ok(Findings { apply_times: apply_times?, ..Findings::default() })
 }
 
 /// Starts one more instance while the table is down.
 fn start_while_table_down(fleet: &mut Fleet, plan: &Plan, memory_before: u64) -> eyre::Result<Row> {
     let revision = fleet.change(0, 0)?;
-    wait_in_force(fleet, revision, Instant::now())?;
+    wait_until_applied(fleet, revision, Instant::now())?;
     fleet.platform.faults().set_reach_of(Service::Table, Reach::Refusing);
     let before = Usage::now(fleet)?;
     let started_at = Instant::now();
     fleet.start_late_instance()?;
-    let in_force = wait_in_force(fleet, revision, started_at);
+    let apply_times = wait_until_applied(fleet, revision, started_at);
     std::thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(started_at.elapsed()));
     fleet.platform.faults().set_reach_of(Service::Table, Reach::Up);
-    // Those that held the revision before have taken no time.
-    let late = in_force?.pop().into_iter().collect();
+    // The other instances had applied the revision before, so only the new one's time counts.
+    let late = apply_times?.pop().into_iter().collect();
     row(
         "start-table-down",
         fleet,
         memory_before,
         &before,
-        Findings { in_force: late, ..Findings::default() },
+        Findings { apply_times: late, ..Findings::default() },
     )
 }
 
-/// Has all instances acknowledge a drain at once, and waits until one of them has heard all.
+/// Lets all instances acknowledge a drain at once, and waits until one of them has received all
+/// acknowledgements.
 fn acknowledgements(fleet: &Fleet, plan: &Plan) -> eyre::Result<Findings> {
     const GENERATION: u64 = 1;
     let started_at = Instant::now();
@@ -223,29 +224,29 @@
     }
     let others = fleet.instances.len() - 1;
     while fleet.instances[0].acknowledged(GENERATION) < others {
-        eyre::ensure!(started_at.elapsed() < IN_FORCE_GUARD, "acknowledgements are missing");
-        std::thread::sleep(LOOK);
+        eyre::ensure!(started_at.elapsed() < APPLY_LIMIT, "acknowledgements are missing");
+        std::thread::sleep(CHECK_INTERVAL);
     }
     let acks = started_at.elapsed();
     std::thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(acks));
     Ok(Findings { acks: Some(acks), ..Findings::default() })
 }
 
-/// Waits until a revision is in force on all instances, and returns how long each took.
-fn wait_in_force(
+/// Waits until all instances have applied a revision, and returns the time that each took.
+fn wait_until_applied(
     fleet: &Fleet,
     revision: Revision,
     accepted_at: Instant,
 ) -> eyre::Result<Vec<Duration>> {
     loop {
         let arrived: Option<Vec<Instant>> =
-            fleet.instances.iter().map(|instance| instance.in_force_at(revision)).collect();
+            fleet.instances.iter().map(|instance| instance.applied_at(revision)).collect();
         if let Some(arrived) = arrived {
             let taken = |at: Instant| at.saturating_duration_since(accepted_at);
             return Ok(arrived.into_iter().map(taken).collect());
         }
         let waited = accepted_at.elapsed();
-        eyre::ensure!(waited < IN_FORCE_GUARD, "revision {revision} is not in force everywhere");
-        std::thread::sleep(LOOK);
+        eyre::ensure!(waited < APPLY_LIMIT, "revision {revision} is not applied on all instances");
+        std::thread::sleep(CHECK_INTERVAL);
     }
 }
--- a/crates/anvilhook-bench/src/control/sizes.rs
+++ b/crates/anvilhook-bench/src/control/sizes.rs
@@ -1,4 +1,4 @@
-//! How large the things are that control reads again and again.
+//! Measures the sizes of the records that the control plane reads repeatedly.
 
 use std::collections::BTreeMap;
 
@@ -6,21 +6,21 @@
 
 use super::fleets::Fleet;
 
-/// `Size` is the mean size of one kind of things, as it crosses the wire.
+/// `Size` is the mean encoded size of one kind of records.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Size {
-    /// What they are: the first two parts of a row's key, or another name.
+    /// The kind: the first two parts of a row's key, or another name.
     size_of: String,
     count: usize,
     mean_bytes: usize,
 }
 
-/// Measures the rows of a fleet's table, its lines in the platform's list, and a resource in a
-/// configuration that crosses the peer link.
+/// Measures the rows of a fleet's table, its entries in the instance list, and a resource in a
+/// configuration that is sent over the peer link.
 ///
 /// # Errors
 ///
-/// If something cannot be encoded.
+/// Returns an error if the instance list cannot be read or a record cannot be encoded.
 pub(super) fn measure_sizes(fleet: &Fleet) -> eyre::Result<Vec<Size>> {
     let mut found: BTreeMap<String, Vec<usize>> = BTreeMap::new();
     for row in fleet.platform.rows("") {
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 ///
-/// If one cannot be encoded.
+/// Returns an error if a size cannot be encoded.
 pub(super) fn print_sizes(sizes: &[Size], json: bool) -> eyre::Result<()> {
     for size in sizes {
         if json {
