--- a/crates/anvilhook-bench/src/proxy/latencies.rs
+++ b/crates/anvilhook-bench/src/proxy/latencies.rs
@@ -1,4 +1,4 @@
-//! Latency and throughput of small whole answers.
+//! Measures the latency and the throughput of small answers that are not streamed.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -10,18 +10,18 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinSet;
 
-use super::LONGEST;
+use super::MAX_TIME;
 use super::processes::InstanceProcess;
 use super::reports::LatencyRow;
 use crate::callers::{Caller, Outcome, PlainCall, micros};
 use crate::local::micros_histogram;
 use crate::sites::{ECHO_PATH, LEDGER_SERVICE};
 
-/// How long each side is called before it is measured, and then measured.
+/// How long each side is called before the measurement starts, and how long it is measured.
 const WARM_UP: Duration = Duration::from_millis(500);
 const MEASURED: Duration = Duration::from_secs(3);
 
-/// `Side` is what was measured of one side.
+/// `Side` holds the measurement of one side, direct or proxied.
 struct Side {
     histogram: Histogram<u64>,
     elapsed: Duration,
@@ -32,22 +32,22 @@
         self.histogram.len() as f64 / self.elapsed.as_secs_f64()
     }
 
-    fn at(&self, quantile: f64) -> u64 {
+    fn value_at(&self, quantile: f64) -> u64 {
         self.histogram.value_at_quantile(quantile)
     }
 }
 
-/// `Target` is who is called.
+/// `Target` is the server that is called.
 #[derive(Clone, Copy)]
 enum Target {
     /// The plain upstream.
     Upstream(SocketAddr),
-    /// The instance before it.
+    /// The instance in front of the upstream.
     Instance(SocketAddr),
 }
 
 /// Measures both sides with the given number of callers, each of which waits for its answer before
-/// it calls again.
+/// it sends the next call.
 pub async fn measure(
     upstream: SocketAddr,
     instance: &InstanceProcess,
@@ -60,25 +60,25 @@
     let proxied = call_for(caller, callers, Target::Instance(instance.callers())).await?;
     let cpu_seconds = instance.usage()?.cpu_seconds - before.cpu_seconds;
 
-    // The instance's processor time covers the warm-up too, so the calls of both are set against it.
+    // The instance's processor time includes the warm-up, so the calls of the warm-up are counted too.
     let calls = (WARM_UP + proxied.elapsed).as_secs_f64() * proxied.rps();
     Ok(LatencyRow {
         callers,
         direct_rps: direct.rps(),
         proxied_rps: proxied.rps(),
         proxied_rps_per_core: calls / cpu_seconds,
-        direct_p50_us: direct.at(0.50),
-        proxied_p50_us: proxied.at(0.50),
-        direct_p99_us: direct.at(0.99),
-        proxied_p99_us: proxied.at(0.99),
+        direct_p50_us: direct.value_at(0.50),
+        proxied_p50_us: proxied.value_at(0.50),
+        direct_p99_us: direct.value_at(0.99),
+        proxied_p99_us: proxied.value_at(0.99),
     })
 }
 
-/// Has callers call again and again, and returns the times of the calls that were measured.
+/// Runs callers that call repeatedly, and returns the times of the measured calls.
 async fn call_for(caller: &Caller, callers: usize, target: Target) -> eyre::Result<Side> {
     let mut tasks = JoinSet::new();
     for number in 0..callers {
-        tasks.spawn(call_again(caller.clone(), target, number as u64));
+        tasks.spawn(call_repeatedly(caller.clone(), target, number as u64));
     }
     let mut histogram = micros_histogram();
     while let Some(ended) = tasks.join_next().await {
@@ -87,7 +87,11 @@
     Ok(Side { histogram, elapsed: MEASURED })
 }
 
-async fn call_again(caller: Caller, target: Target, seed: u64) -> eyre::Result<Histogram<u64>> {
+async fn call_repeatedly(
+    caller: Caller,
+    target: Target,
+    seed: u64,
+) -> eyre::Result<Histogram<u64>> {
     let call = echo();
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut histogram = micros_histogram();
@@ -116,6 +120,6 @@
         service: LEDGER_SERVICE,
         key: None,
         body: r#"{"sale":17}"#.to_owned(),
-        deadline: LONGEST,
+        deadline: MAX_TIME,
     }
 }
--- a/crates/anvilhook-bench/src/proxy/memories.rs
+++ b/crates/anvilhook-bench/src/proxy/memories.rs
@@ -1,31 +1,31 @@
-//! Memory of open streams, from the slope over their number.
+//! Measures the memory of an open stream, as the slope of the memory over the number of streams.
 
 use std::time::Duration;
 
 use eyre::bail;
 use tokio::task::JoinSet;
 
-use super::LONGEST;
+use super::MAX_TIME;
 use super::processes::InstanceProcess;
 use super::reports::{MemoryPoint, MemoryRow};
 use crate::callers::{Caller, ChatCall, Outcome};
 use crate::sites::Site;
 
-/// The pause between two looks at the number of open streams.
-const LOOK_AGAIN: Duration = Duration::from_millis(50);
+/// The interval between two checks of the number of open streams.
+const CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long streams are left open before the memory is read: long enough for the first event of
-/// each, which sets a stream's state in the instance.
+/// How long streams stay open before the memory is read. It is long enough for the first event of
+/// each stream, with which the instance creates the stream's state.
 const SETTLE: Duration = Duration::from_secs(6);
 
-/// The tokens of each stream: enough to stay open during the measurement, and few enough that the
-/// deadline can be met.
+/// The tokens of each stream. They keep it open during the measurement and are few enough for the
+/// deadline to be met.
 const TOKENS: u64 = 400;
 
-/// How many streams are opened at once, so that the listener's queue is not overrun.
+/// The maximum number of streams opened at once, so that the listener's queue does not overflow.
 const OPENED_AT_ONCE: usize = 200;
 
-/// Opens more and more streams and reads the instance's memory at each step.
+/// Opens streams up to each step's number in turn and reads the instance's memory at each step.
 pub async fn measure(
     site: &Site,
     instance: &InstanceProcess,
@@ -62,11 +62,11 @@
         if open >= tasks.len() {
             return Ok(());
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
 fn call(number: usize) -> ChatCall {
     let prompt = format!("open stream {number}");
-    ChatCall { prompt, max_tokens: TOKENS, stream: true, deadline: LONGEST }
+    ChatCall { prompt, max_tokens: TOKENS, stream: true, deadline: MAX_TIME }
 }
--- a/crates/anvilhook-bench/src/proxy/mod.rs
+++ b/crates/anvilhook-bench/src/proxy/mod.rs
@@ -1,7 +1,8 @@
-//! The cost of the way through an instance, against direct calls in the same run.
+//! Bench of the proxy. Measures the cost of calls through an instance against direct calls in the
+//! same run.
 //!
-//! The instance and the upstream of small calls run as processes of their own; callers and all
-//! other stand-ins share the bench's process.
+//! The instance and the upstream of small calls run as separate processes. The callers and all other
+//! stand-ins share the bench's process.
 
 mod latencies;
 mod memories;
@@ -25,20 +26,20 @@
 /// The numbers of callers that are tried.
 const CALLERS: [usize; 3] = [1, 16, 256];
 
-/// How many streams are read at once for the count of events.
+/// The number of concurrent streams when events are counted.
 const STREAMS: usize = 64;
 
-/// The numbers of open streams between which the slope of the memory is taken. Each takes two file
-/// descriptors in the instance and two in the bench, and a process here may hold 20,000.
+/// The numbers of open streams from which the slope of the memory is computed. Each stream takes two
+/// file descriptors in the instance and two in the bench, and a process may open 20,000 here.
 const OPEN_STREAMS: [usize; 4] = [1_000, 3_000, 6_000, 9_000];
 
-/// The time between two events of a stream: where events are counted, and where streams are only
-/// held open.
+/// The time between two events of a stream: when events are counted, and when streams are only kept
+/// open.
 const FAST_STEP_MS: f64 = 1.0;
 const SLOW_STEP_MS: f64 = 3_000.0;
 
-/// The longest time that anything in this bench may take.
-const LONGEST: Millis = Millis::from_secs(3_600);
+/// The deadline and time limit of all requests in this bench.
+const MAX_TIME: Millis = Millis::from_secs(3_600);
 
 /// Measure the added latency, the throughput and the memory of one instance against direct calls.
 #[derive(Clone, Debug, FromArgs)]
@@ -59,7 +60,7 @@
 ///
 /// # Errors
 ///
-/// Any failure to start the parts or to have a request answered.
+/// Returns an error if a part cannot be started or a request is not answered.
 pub fn run(args: &Args) -> eyre::Result<()> {
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build()?;
     if let Some(settings) = &args.instance {
@@ -99,7 +100,7 @@
     Ok(Report { latencies, streams, memory })
 }
 
-/// Returns a site whose engines cost next to nothing, with room for thousands of streams.
+/// Returns a site whose engines add almost no time and accept thousands of streams.
 fn site_options(decode_step_ms: f64, upstream: SocketAddr) -> SiteOptions {
     let engine = EngineOptions {
         prefill_tokens_per_s: 100_000_000,
@@ -110,9 +111,9 @@
         ..EngineOptions::default()
     };
     let bounds = Bounds {
-        chat_deadline: LONGEST,
+        chat_deadline: MAX_TIME,
         chat_first_byte: Millis::from_secs(60),
-        between_events: LONGEST,
+        between_events: MAX_TIME,
         ..Bounds::default()
     };
     SiteOptions {
--- a/crates/anvilhook-bench/src/proxy/processes.rs
+++ b/crates/anvilhook-bench/src/proxy/processes.rs
@@ -1,6 +1,7 @@
-//! The processes of the bench: the instance under measurement, and the upstream that it is measured
-//! against. In one process with the callers, an upstream would be woken by the same thread, and a
-//! direct call would cost less than any call between two processes does.
+//! Runs the processes of the bench: the measured instance, and the upstream that direct calls go to.
+//!
+//! The upstream does not share the callers' process, because it would be woken by the same thread
+//! there, and a direct call would cost less than any call between two processes.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::SocketAddr;
@@ -16,7 +17,7 @@
 
 use crate::sites::Site;
 
-/// `BenchProcess` is this program, started once more. Dropping it kills the process.
+/// `BenchProcess` is another process of this program. Dropping it kills the process.
 #[derive(Debug)]
 struct BenchProcess {
     child: Child,
@@ -24,7 +25,7 @@
 }
 
 impl BenchProcess {
-    /// Starts the process and waits for the line by which it says that it is ready.
+    /// Starts the process and waits for the line that announces that it is ready.
     fn start(args: &[&str]) -> eyre::Result<Self> {
         let mut child = Command::new(std::env::current_exe()?)
             .arg("proxy")
@@ -41,7 +42,7 @@
 
 impl Drop for BenchProcess {
     fn drop(&mut self) {
-        // A process that has ended by itself cannot be killed, which is well.
+        // Killing a process that has already terminated fails, which is harmless.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -59,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// Any failure to start it.
+    /// Returns an error if the instance cannot be started.
     pub fn start(site: &Site) -> eyre::Result<Self> {
         let file =
             std::env::temp_dir().join(format!("anvilhook-bench-{}.yaml", std::process::id()));
@@ -73,19 +74,19 @@
         Ok(Self { process, callers: announced.addresses.callers })
     }
 
-    /// Returns where callers are served.
+    /// Returns the address that serves callers.
     pub fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns what the process has used.
+    /// Returns the processor time and memory that the process has used.
     ///
     /// # Errors
     ///
-    /// If the kernel does not tell.
+    /// Returns an error if the kernel does not report them.
     pub fn usage(&self) -> eyre::Result<ProcessUsage> {
         let usage = read_usage_of(self.process.child.id());
-        usage.ok_or_eyre("the kernel does not tell the process's usage")
+        usage.ok_or_eyre("the kernel does not report the process's usage")
     }
 }
 
@@ -101,14 +102,14 @@
     ///
     /// # Errors
     ///
-    /// Any failure to start it.
+    /// Returns an error if the upstream cannot be started.
     pub fn start() -> eyre::Result<Self> {
         let process = BenchProcess::start(&["--upstream"])?;
         let address = process.announced.trim().parse().wrap_err("read the upstream's address")?;
         Ok(Self { _process: process, address })
     }
 
-    /// Returns where it listens.
+    /// Returns the address on which the upstream listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/anvilhook-bench/src/proxy/reports.rs
+++ b/crates/anvilhook-bench/src/proxy/reports.rs
@@ -1,60 +1,60 @@
-//! What the bench prints.
+//! The report that the bench prints.
 
 use std::fmt;
 
 use serde::Serialize;
 
-/// `LatencyRow` compares small whole answers, direct and proxied.
+/// `LatencyRow` compares small answers that are not streamed, direct and proxied.
 #[derive(Clone, Debug, Serialize)]
 pub struct LatencyRow {
-    /// Callers at once, each waiting for its answer before it calls again.
+    /// The number of concurrent callers, each of which waits for its answer before its next call.
     pub callers: usize,
-    /// Direct answers in a second.
+    /// Direct answers per second.
     pub direct_rps: f64,
-    /// Proxied answers in a second.
+    /// Proxied answers per second.
     pub proxied_rps: f64,
-    /// Proxied answers in a second of the instance's processor time.
+    /// Proxied answers per second of the instance's processor time.
     pub proxied_rps_per_core: f64,
-    /// The median of direct answers, in microseconds.
+    /// The median time of direct answers, in microseconds.
     pub direct_p50_us: u64,
-    /// The median of proxied answers, in microseconds.
+    /// The median time of proxied answers, in microseconds.
     pub proxied_p50_us: u64,
-    /// 99 in 100 direct answers take at most this.
+    /// The 99th percentile of the time of direct answers, in microseconds.
     pub direct_p99_us: u64,
-    /// 99 in 100 proxied answers take at most this.
+    /// The 99th percentile of the time of proxied answers, in microseconds.
     pub proxied_p99_us: u64,
 }
 
 /// `StreamRow` compares streamed events, direct and proxied.
 #[derive(Clone, Debug, Serialize)]
 pub struct StreamRow {
-    /// Streams at once.
+    /// The number of concurrent streams.
     pub streams: usize,
-    /// Direct events in a second.
+    /// Direct events per second.
     pub direct_events_per_s: f64,
-    /// Proxied events in a second.
+    /// Proxied events per second.
     pub proxied_events_per_s: f64,
-    /// Proxied events in a second of the instance's processor time.
+    /// Proxied events per second of the instance's processor time.
     pub proxied_events_per_s_per_core: f64,
 }
 
-/// `MemoryPoint` is the instance's memory with a number of open streams.
+/// `MemoryPoint` is the instance's memory at one number of open streams.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct MemoryPoint {
-    /// Open streams.
+    /// The number of open streams.
     pub streams: usize,
-    /// Resident memory.
+    /// The resident memory, in bytes.
     pub resident_bytes: u64,
 }
 
-/// `MemoryRow` is what an open stream costs.
+/// `MemoryRow` gives the memory that an open stream takes.
 #[derive(Clone, Debug, Serialize)]
 pub struct MemoryRow {
-    /// What was measured.
+    /// The measured points.
     pub points: Vec<MemoryPoint>,
-    /// The slope by least squares.
+    /// The slope by least squares, in bytes per stream.
     pub bytes_per_stream: f64,
-    /// What 10,000 streams take by the slope and its intercept, in megabytes.
+    /// The memory at 10,000 streams by the slope and its intercept, in megabytes.
     pub at_10000_streams_mb: f64,
 }
 
@@ -84,14 +84,14 @@
     }
 }
 
-/// `Report` is all that was measured.
+/// `Report` holds all measurements of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
-    /// Small whole answers.
+    /// The figures of small answers that are not streamed.
     pub latencies: Vec<LatencyRow>,
-    /// Streamed events.
+    /// The figures of streamed events.
     pub streams: StreamRow,
-    /// Memory of open streams.
+    /// The memory of open streams.
     pub memory: MemoryRow,
 }
 
--- a/crates/anvilhook-bench/src/proxy/streams.rs
+++ b/crates/anvilhook-bench/src/proxy/streams.rs
@@ -1,4 +1,4 @@
-//! Events of streams in a second.
+//! Measures the number of streamed events per second.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -9,16 +9,17 @@
 use rand_chacha::ChaCha8Rng;
 use tokio::task::JoinSet;
 
-use super::LONGEST;
+use super::MAX_TIME;
 use super::processes::InstanceProcess;
 use super::reports::StreamRow;
 use crate::callers::{Caller, ChatCall, Outcome};
 use crate::sites::Site;
 
-/// The events of each stream.
+/// The number of events of each stream.
 const EVENTS: u64 = 2_000;
 
-/// Measures how many events a second reach the callers of a number of streams.
+/// Measures how many events per second reach the callers of the given number of streams, direct and
+/// proxied.
 pub async fn measure(
     site: &Site,
     instance: &InstanceProcess,
@@ -63,10 +64,10 @@
         let Outcome::Answered(answer) = &outcome else { bail!("not answered: {outcome:?}") };
         count += 1 + answer.gaps.len() as u64;
     }
-    (count > 0).then_some(count).ok_or_eyre("no event came")
+    (count > 0).then_some(count).ok_or_eyre("no event was received")
 }
 
 fn call(number: usize) -> ChatCall {
     let prompt = format!("stream {number}");
-    ChatCall { prompt, max_tokens: EVENTS, stream: true, deadline: LONGEST }
+    ChatCall { prompt, max_tokens: EVENTS, stream: true, deadline: MAX_TIME }
 }
