--- a/crates/anvilhook-bench/src/local/audits.rs
+++ b/crates/anvilhook-bench/src/local/audits.rs
@@ -1,4 +1,4 @@
-//! What became of each request, checked against what the stand-ins counted.
+//! Checks the outcome of each request against the runs that the stand-ins counted.
 
 use std::collections::{HashMap, HashSet};
 
@@ -16,27 +16,27 @@
 pub struct Ended {
     /// The request.
     pub planned: Planned,
-    /// What its caller saw.
+    /// The outcome as the caller saw it.
     pub outcome: Outcome,
 }
 
-/// `Evidence` is what the stand-ins counted.
+/// `Evidence` holds the runs that the stand-ins counted.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     ledger: RunLedger,
-    /// The prompts of which an engine did any work.
+    /// The digests of the prompts on which an engine did any work.
     prompts_run: HashSet<u64>,
 }
 
 impl Evidence {
-    /// Takes the counts of all stand-ins.
+    /// Collects the counts of all stand-ins.
     pub fn new(engines: &[EngineServer], ledger: &RunLedger) -> Self {
         let attempts = engines.iter().flat_map(EngineServer::attempts);
         let run = attempts.filter(|attempt| attempt.ran()).map(|attempt| attempt.prompt);
         Self { ledger: ledger.clone(), prompts_run: run.collect() }
     }
 
-    /// Returns how often a request ran. Of a chat completion it is only known whether it did.
+    /// Returns how often a request ran. For a chat completion, returns only zero or one.
     fn runs(&self, body: &Body) -> usize {
         match body {
             Body::Chat(call) => {
@@ -47,7 +47,7 @@
     }
 }
 
-/// Puts all requests into one row for each kind.
+/// Counts all requests in one row for each kind.
 pub fn rows(ended: &[Ended], evidence: &Evidence) -> Vec<Row> {
     let mut rows: HashMap<Kind, Row> = HashMap::new();
     for one in ended {
@@ -72,7 +72,7 @@
             if !is_own(body, answer) {
                 row.crossed += 1;
             }
-            // An answer to a call that no upstream ran is a loss that nobody notices.
+            // The request is lost if no upstream ran it, although its caller received an answer.
             if runs == 0 {
                 row.lost += 1;
             }
@@ -92,7 +92,7 @@
     Millis(answer.whole.as_millis() as u64) <= kind.deadline()
 }
 
-/// Returns whether an answer is the whole answer to its own request.
+/// Returns whether an answer is complete and belongs to its request.
 fn is_own(body: &Body, answer: &Answer) -> bool {
     match body {
         Body::Chat(call) => is_own_completion(call, answer),
--- a/crates/anvilhook-bench/src/local/kinds.rs
+++ b/crates/anvilhook-bench/src/local/kinds.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Copy, Debug, Eq, Hash, Ord, PartialEq, PartialOrd, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Kind {
-    /// A whole manual with a log, read for a short verdict.
+    /// A complete manual with a log, for which the answer is a short verdict.
     LongDocument,
     /// A short question.
     QuickQuestion,
     /// An alert without an idempotency key.
     Alert,
-    /// A record of the sale ledger, under an idempotency key.
+    /// A record of the sales ledger, with an idempotency key.
     LedgerRecord,
 }
 
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Returns the plain service that answers, if it is not model engines.
+    /// Returns the plain service that answers, or `None` if model engines do.
     pub fn plain_service(self) -> Option<&'static str> {
         match self {
             Kind::LongDocument | Kind::QuickQuestion => None,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns the time given to each request.
+    /// Returns the time limit of each request.
     pub fn deadline(self) -> Millis {
         match self {
             Kind::LongDocument => Millis::from_secs(15),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Returns how many requests arrive in a second on average.
+    /// Returns the mean number of requests that arrive per second.
     pub fn rate_per_s(self) -> f64 {
         match self {
             Kind::LongDocument => 5.0,
--- a/crates/anvilhook-bench/src/local/mod.rs
+++ b/crates/anvilhook-bench/src/local/mod.rs
@@ -1,4 +1,5 @@
-//! The local demonstration: a whole site in one process, on loopback, under load and faults.
+//! The local demonstration. Runs a whole site in one process on the loopback interface, under load
+//! and with faults.
 
 mod audits;
 mod kinds;
@@ -22,11 +23,11 @@
 
 use crate::sites::{CHAT_SERVICE, OPERATOR_TOKEN, TOKEN};
 
-/// How long requests arrive.
+/// The length of the load.
 const SPAN: Millis = Millis::from_secs(20);
 
-/// The time between two lines of progress.
-const PROGRESS: Duration = Duration::from_secs(2);
+/// The interval between two lines of progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Run a whole site on loopback: stand-ins, three instances, a mixed load and faults. Ends with
 /// status 1 if a request was doubled, lost, answered with another's answer, or falsely "not run".
@@ -46,24 +47,24 @@
     pub seed: u64,
 }
 
-/// `Report` is what a run prints with `--json`.
+/// `Report` is the output of a run with `--json`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// The seed.
     pub seed: u64,
-    /// One row for each kind of request.
+    /// The rows, one for each kind of request.
     pub rows: Vec<RowReport>,
-    /// Requests that reached an engine too long after it was listed as leaving.
+    /// Requests that reached an engine later than allowed after it was listed as leaving.
     pub sent_to_leaving: usize,
-    /// Whether every promise was kept.
+    /// Whether the run met all guarantees.
     pub kept: bool,
 }
 
-/// Runs the demonstration and returns whether every promise was kept.
+/// Runs the demonstration and returns whether the run met all guarantees.
 ///
 /// # Errors
 ///
-/// Any failure to start the site or to print.
+/// Returns an error if the site cannot be started or the report cannot be printed.
 pub async fn run(args: &Args) -> eyre::Result<bool> {
     if args.swing {
         return swings::run(args).await;
@@ -81,12 +82,12 @@
     let progress = tokio::spawn(show_progress(plan.requests.len()));
     eprintln!("seed {}: {} requests in {SPAN}", args.seed, plan.requests.len());
     let ended =
-        run.carry_out(&plan, |fault| eprintln!("{:>6} ms  {:?}", fault.at.0, fault.kind)).await;
+        run.execute(&plan, |fault| eprintln!("{:>6} ms  {:?}", fault.at.0, fault.kind)).await;
     progress.abort();
 
     let rows = rows(&ended, &run.evidence());
     let sent_to_leaving = run.sent_to_leaving();
-    let kept = rows.iter().all(|row| row.broken() == 0) && sent_to_leaving == 0;
+    let kept = rows.iter().all(|row| row.violations() == 0) && sent_to_leaving == 0;
     if args.json {
         let rows = rows.iter().map(Row::report).collect();
         let report = Report { seed: args.seed, rows, sent_to_leaving, kept };
@@ -104,13 +105,13 @@
 async fn show_progress(requests: usize) {
     let mut elapsed = Duration::ZERO;
     loop {
-        tokio::time::sleep(PROGRESS).await;
-        elapsed += PROGRESS;
+        tokio::time::sleep(PROGRESS_INTERVAL).await;
+        elapsed += PROGRESS_INTERVAL;
         eprintln!("{:>6} ms  of {SPAN}, {requests} requests in all", elapsed.as_millis());
     }
 }
 
-/// Keeps the site up until SIGINT, and prints how to use it.
+/// Prints how to use the site and keeps it running until SIGINT.
 async fn serve(run: &Arc<Run>) -> eyre::Result<()> {
     println!("platform: http://{}", run.site.platform_address());
     let addresses = run.addresses();
--- a/crates/anvilhook-bench/src/local/plans.rs
+++ b/crates/anvilhook-bench/src/local/plans.rs
@@ -1,4 +1,4 @@
-//! What a run does: requests at their times, and faults at theirs. All of it follows from the seed.
+//! Plans a run: the times of its requests and of its faults. The seed determines the whole plan.
 
 use anvilhook_core::units::Millis;
 use rand::{Rng, RngExt, SeedableRng};
@@ -7,20 +7,21 @@
 use super::kinds::Kind;
 use crate::callers::{ChatCall, PlainCall};
 
-/// The manuals that long documents begin with; requests that share one share a prompt prefix.
+/// The number of manuals with which long documents begin. Requests with the same manual share a prompt
+/// prefix.
 const MANUALS: usize = 6;
 
 /// The bytes of a manual, and of the log that follows it.
 const MANUAL_BYTES: usize = 14_000;
 const LOG_BYTES: std::ops::Range<usize> = 1_000..4_000;
 
-/// The words that texts are made of.
+/// The words from which texts are generated.
 const WORDS: [&str; 16] = [
     "fridge", "sink", "board", "fish", "oven", "towel", "glove", "shelf", "lot", "chair", "veneer",
     "hammer", "paddle", "dresser", "walnut", "label",
 ];
 
-/// `Body` is what a planned request asks.
+/// `Body` is the content of a planned request.
 #[derive(Clone, Debug)]
 pub enum Body {
     /// A chat completion.
@@ -36,55 +37,55 @@
     }
 }
 
-/// `Planned` is one request.
+/// `Planned` is a planned request.
 #[derive(Clone, Debug)]
 pub struct Planned {
-    /// When it is sent, from the start of the load.
+    /// The time at which it is sent, from the start of the load.
     pub at: Millis,
     /// Its kind.
     pub kind: Kind,
-    /// What it asks.
+    /// Its content.
     pub body: Body,
 }
 
-/// `FaultKind` is something that goes wrong, or is done on purpose.
+/// `FaultKind` is a failure, or a planned action such as a drain.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum FaultKind {
-    /// The process of an engine ends.
+    /// The process of an engine terminates.
     CrashEngine(usize),
-    /// It starts again.
+    /// The engine restarts.
     RestartEngine(usize),
-    /// The process of a plain upstream ends.
+    /// The process of a plain upstream terminates.
     CrashPlain(usize),
-    /// It starts again.
+    /// The plain upstream restarts.
     RestartPlain(usize),
     /// The platform lists an engine as leaving.
     DrainEngine(usize),
-    /// All connections of an engine that are open now go silent.
+    /// All currently open connections of an engine stop carrying data.
     SilenceEngine(usize),
-    /// All connections of a plain upstream that are open now go silent.
+    /// All currently open connections of a plain upstream stop carrying data.
     SilencePlain(usize),
     /// An instance is stopped gracefully.
     StopInstance(usize),
 }
 
-/// `Fault` is one fault at its time.
+/// `Fault` is a planned fault.
 #[derive(Clone, Copy, Debug)]
 pub struct Fault {
-    /// When it happens, from the start of the load.
+    /// The time of the fault, from the start of the load.
     pub at: Millis,
-    /// What happens.
+    /// The kind of the fault.
     pub kind: FaultKind,
 }
 
-/// `PlanOptions` describes a run.
+/// `PlanOptions` holds the parameters of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct PlanOptions {
     /// The seed of load and faults.
     pub seed: u64,
-    /// How long requests arrive.
+    /// The length of the load.
     pub span: Millis,
-    /// How much of the usual load arrives.
+    /// The factor by which the usual load is multiplied.
     pub scale: f64,
     /// The number of engines.
     pub engines: usize,
@@ -94,7 +95,7 @@
     pub instances: usize,
 }
 
-/// `Plan` is what a run does.
+/// `Plan` holds the requests and faults of a run.
 #[derive(Clone, Debug)]
 pub struct Plan {
     /// The requests in the order of their times.
@@ -104,7 +105,7 @@
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Draws a plan from the seed in the options.
     ///
     /// ```
     /// use anvilhook_bench::local::{Plan, PlanOptions};
@@ -132,7 +133,7 @@
     }
 }
 
-/// Draws the times of an open-loop load: callers do not wait for each other.
+/// Draws the arrival times of an open-loop load, in which no request waits for an earlier one.
 pub(super) fn arrivals(rate_per_s: f64, span: Millis, rng: &mut impl Rng) -> Vec<Millis> {
     let mut times = Vec::new();
     let mut at_s = 0.0;
@@ -180,8 +181,8 @@
     text
 }
 
-/// Draws whom the faults meet. Each meets an upstream of its own, so that their traces in the table
-/// can be told apart.
+/// Draws the targets and times of the faults. Each fault has a different upstream as its target, so
+/// that the effects of the faults in the table can be distinguished.
 fn faults(options: &PlanOptions, rng: &mut impl Rng) -> Vec<Fault> {
     let engines = distinct(3, options.engines, rng);
     let plain = distinct(2, options.plain, rng);
@@ -206,7 +207,7 @@
     faults
 }
 
-/// Draws numbers below `below` that differ, as far as there are enough of them.
+/// Draws `count` numbers below `below`, which are distinct if there are enough of them.
 fn distinct(count: usize, below: usize, rng: &mut impl Rng) -> Vec<usize> {
     let first = rng.random_range(0..below);
     (0..count).map(|i| (first + i * below.div_ceil(count).max(1)) % below).collect()
--- a/crates/anvilhook-bench/src/local/rows.rs
+++ b/crates/anvilhook-bench/src/local/rows.rs
@@ -1,4 +1,4 @@
-//! The table of a run: one row for each kind of request.
+//! Counts the requests of a run in a table with one row for each kind of request.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 use super::kinds::Kind;
 use crate::callers::{Answer, micros};
 
-/// The longest time that a histogram holds, in microseconds.
+/// The largest value that a histogram records, in microseconds.
 const MAX_MICROS: u64 = 600_000_000;
 
 /// The significant digits of a histogram.
@@ -19,23 +19,23 @@
 pub struct Row {
     /// The kind.
     pub kind: Kind,
-    /// Requests sent.
+    /// Requests that were sent.
     pub sent: u64,
-    /// Answered whole and in time.
+    /// Requests answered completely and in time.
     pub answered: u64,
-    /// Answered whole, after the deadline.
+    /// Requests answered completely after the deadline.
     pub late: u64,
-    /// Refused, with the word that they did not run.
+    /// Requests that were refused as not run, or for which no connection could be established.
     pub refused_not_run: u64,
-    /// Failed, with the word that they may have run.
+    /// Requests that failed and were not reported as not run.
     pub may_have_run: u64,
-    /// Run more than once, of those that may not be.
+    /// Requests that ran more than once although they must not be repeated.
     pub doubled: u64,
-    /// Left without an answer or a word, or answered without having run.
+    /// Requests without an answer or a reported failure, or answered without having run.
     pub lost: u64,
-    /// Answered with what is not their whole own answer.
+    /// Requests whose answer was incomplete or belonged to another request.
     pub crossed: u64,
-    /// Refused as not run, though they ran.
+    /// Requests that were reported as not run although they ran.
     pub false_not_run: u64,
     first: Histogram<u64>,
     between: Histogram<u64>,
@@ -46,9 +46,9 @@
 pub struct Percentiles {
     /// The median.
     pub p50: f64,
-    /// 95 in 100 are at most this.
+    /// The 95th percentile.
     pub p95: f64,
-    /// 99 in 100 are at most this.
+    /// The 99th percentile.
     pub p99: f64,
 }
 
@@ -69,20 +69,20 @@
     between_tokens_ms: Percentiles,
 }
 
-/// Makes an empty histogram of microseconds.
+/// Creates an empty histogram of microseconds.
 ///
 /// # Panics
 ///
-/// Never: the bounds are constants that the library takes.
+/// Never, since the library accepts the constant bounds.
 pub fn micros_histogram() -> Histogram<u64> {
     match Histogram::new_with_bounds(1, MAX_MICROS, DIGITS) {
         Ok(histogram) => histogram,
-        Err(err) => panic!("constant bounds are refused: {err}"),
+        Err(err) => panic!("the library rejected the constant bounds: {err}"),
     }
 }
 
 impl Row {
-    /// Makes a row of no requests.
+    /// Creates an empty row.
     pub fn new(kind: Kind) -> Self {
         Self {
             kind,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Counts a whole answer.
+    /// Counts a complete answer.
     pub fn record_answer(&mut self, answer: &Answer, in_time: bool) {
         if in_time {
             self.answered += 1;
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Returns how many requests broke a promise.
-    pub fn broken(&self) -> u64 {
+    /// Returns the number of violated guarantees, summed over all requests.
+    pub fn violations(&self) -> u64 {
         self.doubled + self.lost + self.crossed + self.false_not_run
     }
 
@@ -142,7 +142,7 @@
     Percentiles { p50: at(0.50), p95: at(0.95), p99: at(0.99) }
 }
 
-/// Writes the rows as a table for people.
+/// Formats the rows as a readable table.
 pub fn table(rows: &[Row]) -> String {
     let mut text = format!(
         "{:<14} {:>5} {:>8} {:>5} {:>7} {:>8} {:>7} {:>5} {:>7} {:>8}  {:>22}  {:>22}\n",
@@ -175,14 +175,14 @@
             row.lost,
             row.crossed,
             row.false_not_run,
-            in_brief(report.first_token_ms),
-            in_brief(report.between_tokens_ms),
+            format_percentiles(report.first_token_ms),
+            format_percentiles(report.between_tokens_ms),
         );
     }
     text
 }
 
-fn in_brief(percentiles: Percentiles) -> String {
+fn format_percentiles(percentiles: Percentiles) -> String {
     let Percentiles { p50, p95, p99 } = percentiles;
     format!("{p50:.0}/{p95:.0}/{p99:.0}")
 }
--- a/crates/anvilhook-bench/src/local/runs.rs
+++ b/crates/anvilhook-bench/src/local/runs.rs
@@ -1,4 +1,4 @@
-//! A run: the site, its instances, the load and the faults.
+//! Executes a run: starts the site and its instances, sends the load and injects the faults.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,22 +13,22 @@
 use crate::callers::{Caller, Outcome};
 use crate::sites::{Site, SiteOptions, engine_name, zone};
 
-/// How long after it was listed as leaving an engine may still get new work.
+/// The time for which an engine may still receive new work after it was listed as leaving.
 const LEAVING_GRACE: Millis = Millis::from_secs(3);
 
-/// How long the balancer goes on sending requests to an instance that is no longer ready.
+/// The time for which the balancer still sends requests to an instance that is no longer ready.
 const BALANCER_LAG: Millis = Millis(300);
 
 /// `Member` is a running instance behind the balancer.
 struct Member {
     callers: SocketAddr,
     operators: SocketAddr,
-    /// Whether the balancer sends requests there.
-    in_balance: bool,
+    /// Whether the balancer sends requests to the instance.
+    in_rotation: bool,
     handle: Option<InstanceHandle<SystemClock>>,
 }
 
-/// `Run` is a site with its instances, and what the balancer knows of them.
+/// `Run` holds a site with its instances and the balancer's state.
 pub struct Run {
     /// The stand-ins.
     pub site: Site,
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Any failure to start.
+    /// Returns an error if a part cannot be started.
     pub async fn start(options: &PlanOptions) -> eyre::Result<Arc<Self>> {
         let site_options = SiteOptions {
             engines: options.engines,
@@ -56,11 +56,11 @@
         Self::start_site(&site_options, options.instances).await
     }
 
-    /// Starts the stand-ins of a site and a number of instances.
+    /// Starts the stand-ins of a site and the given number of instances.
     ///
     /// # Errors
     ///
-    /// Any failure to start.
+    /// Returns an error if a part cannot be started.
     pub async fn start_site(options: &SiteOptions, instances: usize) -> eyre::Result<Arc<Self>> {
         let site = Site::start(options).await?;
         let mut members = Vec::new();
@@ -69,7 +69,7 @@
             let handle = site.start_instance(index, seed).await?;
             let addresses = handle.addresses();
             let (callers, operators) = (addresses.callers, addresses.operators);
-            members.push(Member { callers, operators, in_balance: true, handle: Some(handle) });
+            members.push(Member { callers, operators, in_rotation: true, handle: Some(handle) });
         }
         Ok(Arc::new(Self {
             site,
@@ -81,15 +81,15 @@
         }))
     }
 
-    /// Returns the callers' and the operators' addresses of the instances that run.
+    /// Returns the callers' and the operators' address of each running instance.
     pub fn addresses(&self) -> Vec<(SocketAddr, SocketAddr)> {
         let members = lock(&self.members);
-        let running = members.iter().filter(|member| member.in_balance);
+        let running = members.iter().filter(|member| member.in_rotation);
         running.map(|member| (member.callers, member.operators)).collect()
     }
 
-    /// Carries a plan out and returns what became of its requests. `tell` is told of each fault.
-    pub async fn carry_out(self: &Arc<Self>, plan: &Plan, tell: impl Fn(&Fault)) -> Vec<Ended> {
+    /// Executes a plan and returns the outcomes of its requests. Calls `on_fault` before each fault.
+    pub async fn execute(self: &Arc<Self>, plan: &Plan, on_fault: impl Fn(&Fault)) -> Vec<Ended> {
         let started_at = self.clock.now();
         let mut requests = plan.requests.iter().enumerate().peekable();
         let mut faults = plan.faults.iter().peekable();
@@ -103,8 +103,8 @@
 
             if next_fault == Some(at) {
                 if let Some(fault) = faults.next() {
-                    tell(fault);
-                    self.cause(fault.kind).await;
+                    on_fault(fault);
+                    self.inject(fault.kind).await;
                 }
             } else if let Some((number, planned)) = requests.next() {
                 let (run, planned) = (Arc::clone(self), planned.clone());
@@ -116,12 +116,12 @@
         ended
     }
 
-    /// Returns what the stand-ins counted.
+    /// Returns the runs that the stand-ins counted.
     pub fn evidence(&self) -> Evidence {
         Evidence::new(&self.site.engines, &self.site.ledger)
     }
 
-    /// Returns how many attempts reached an engine too long after it was listed as leaving.
+    /// Returns how many attempts reached an engine later than allowed after it was listed as leaving.
     pub fn sent_to_leaving(&self) -> usize {
         let drained = lock(&self.drained);
         let late = drained.iter().map(|(engine, since)| {
@@ -134,8 +134,8 @@
 
     async fn send(&self, number: usize, planned: Planned) -> Ended {
         let mut outcome = self.send_once(number, &planned.body).await;
-        // A caller that named a key may ask again, at another instance: the key keeps the call from
-        // running twice, and brings back the answer that was lost.
+        // A caller that sent an idempotency key may retry at another instance. The key prevents a
+        // second run of the call and makes the instance return the answer that was lost.
         if planned.body.has_key() && outcome.answer().is_none() && !outcome.is_not_run() {
             outcome = self.send_once(number + 1, &planned.body).await;
         }
@@ -150,15 +150,15 @@
         }
     }
 
-    /// Chooses an instance as the platform's balancer does: one after the other, of those that have
-    /// not been taken out.
+    /// Chooses an instance as the platform's balancer does: in turn, among those that have not been
+    /// removed.
     fn choose(&self, number: usize) -> Option<SocketAddr> {
         let members = lock(&self.members);
-        let running: Vec<&Member> = members.iter().filter(|member| member.in_balance).collect();
+        let running: Vec<&Member> = members.iter().filter(|member| member.in_rotation).collect();
         running.get(number % running.len().max(1)).map(|member| member.callers)
     }
 
-    async fn cause(self: &Arc<Self>, fault: FaultKind) {
+    async fn inject(self: &Arc<Self>, fault: FaultKind) {
         let (engines, plain) = (&self.site.engines, &self.site.plain);
         match fault {
             FaultKind::CrashEngine(index) => engines[index].crash().await,
@@ -183,17 +183,18 @@
         lock(&self.drained).push((index, self.site.clock.now()));
     }
 
-    /// Begins a graceful stop, and has the balancer take the instance out a little later: it asks
-    /// for readiness now and then, so some requests still come and have to be refused.
+    /// Starts a graceful stop, and lets the balancer remove the instance after [`BALANCER_LAG`]. A
+    /// balancer checks readiness only periodically, so the instance still receives some requests and
+    /// has to refuse them.
     fn stop_instance(self: &Arc<Self>, index: usize) {
         let Some(handle) = lock(&self.members)[index].handle.take() else { return };
         let run = Arc::clone(self);
         let stopping = tokio::spawn(async move {
-            let taking_out = async {
+            let removal = async {
                 tokio::time::sleep(BALANCER_LAG.as_duration()).await;
-                lock(&run.members)[index].in_balance = false;
+                lock(&run.members)[index].in_rotation = false;
             };
-            tokio::join!(taking_out, handle.stop());
+            tokio::join!(removal, handle.stop());
         });
         lock(&self.stopping).push(stopping);
     }
--- a/crates/anvilhook-bench/src/local/swings.rs
+++ b/crates/anvilhook-bench/src/local/swings.rs
@@ -1,8 +1,9 @@
-//! The demonstration of role planning: a mix that swings and stays, and roles that follow it.
+//! Demonstrates role planning: the mix of requests changes once, and the engines' roles follow it.
 //!
-//! First callers ask short questions, which mixed engines answer best. Then long prompts come with
-//! long outputs that leave little time between two tokens: on mixed engines, reading holds up
-//! generating. The planner's timing is short here, so that a change pays within the run.
+//! The first part of the load consists of short questions, which mixed engines answer best. The second
+//! part has long prompts with long outputs and little time between two tokens, for which mixed engines
+//! are slow, since reading a prompt (prefill) delays the generation of other outputs. The planner's
+//! times are short here, so that a role change is worth its cost within the run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,32 +24,32 @@
 use crate::callers::{ChatCall, Outcome};
 use crate::sites::{SiteOptions, model_ref, pool_with, redeclare};
 
-/// How long each part of the load lasts.
+/// The lengths of the two parts of the load.
 const QUICK_SPAN: Millis = Millis::from_secs(8);
 const LONG_SPAN: Millis = Millis::from_secs(60);
 
-/// Requests a second in each part.
+/// The requests per second in each part.
 const QUICK_RATE: f64 = 10.0;
 const LONG_RATE: f64 = 11.0;
 
-/// What is asked in each part: the bytes of the prompt, and the tokens of output.
+/// The work of a request in each part: the bytes of the prompt and the tokens of output.
 const QUICK_WORK: (usize, u64) = (1_200, 20);
 const LONG_WORK: (usize, u64) = (8_000, 300);
 
-/// The time that each request has. Beside prompts that are being read, a long output takes longer.
+/// The time limit of each request. A long output takes longer while the same engine reads prompts.
 const DEADLINE: Millis = Millis::from_secs(18);
 
 const ENGINES: usize = 8;
 const INSTANCES: usize = 2;
 
-/// The pause between two looks at the engines.
-const LOOK_AGAIN: Duration = Duration::from_millis(200);
+/// The interval between two checks of the engines' orders.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs the demonstration and returns whether every promise was kept and roles followed the mix.
+/// Runs the demonstration and returns whether the run met all guarantees and roles followed the mix.
 ///
 /// # Errors
 ///
-/// Any failure to start the site or to print.
+/// Returns an error if the site cannot be started or the report cannot be printed.
 pub(super) async fn run(args: &Args) -> eyre::Result<bool> {
     let run = Run::start_site(&site_options(args.seed), INSTANCES).await?;
     let policy = RolePolicy {
@@ -65,7 +66,7 @@
         args.seed,
         plan.requests.len()
     );
-    let ended = run.carry_out(&plan, |_| {}).await;
+    let ended = run.execute(&plan, |_| {}).await;
     watching.abort();
 
     let rows = rows(&ended, &run.evidence());
@@ -75,8 +76,8 @@
     let shared = engines.iter().flat_map(EngineServer::attempts);
     let shared = shared.filter(|it| it.end.is_some_and(|(end, _)| end == AttemptEnd::Prefilled));
     let followed = roles.prefill > 0 && roles.decode > 0;
-    let (late, broken_off) = failures(&ended);
-    let kept = rows.iter().all(|row| row.broken() == 0) && cut == 0 && broken_off == 0;
+    let (late, failed_otherwise) = failures(&ended);
+    let kept = rows.iter().all(|row| row.violations() == 0) && cut == 0 && failed_otherwise == 0;
     if args.json {
         let rows = rows.iter().map(Row::report).collect();
         let report = Report { seed: args.seed, rows, sent_to_leaving: 0, kept: kept && followed };
@@ -91,7 +92,7 @@
             changes(engines).count()
         );
         println!("prompts read for another engine: {}; cut by orders: {cut}", shared.count());
-        println!("given up: {late} for their time; {broken_off} for other reasons");
+        println!("given up: {late} for their time; {failed_otherwise} for other reasons");
         if !followed {
             println!("no role followed the mix");
         }
@@ -132,19 +133,20 @@
     Plan { requests, faults: Vec::new() }
 }
 
-/// Counts the requests that failed after they may have run: those that took too long, which an
-/// overload explains, and all others, which it does not.
+/// Counts the failed requests that may have run. Returns first those that exceeded a time limit, which
+/// an overload explains, and then all others, which it does not explain.
 fn failures(ended: &[Ended]) -> (usize, usize) {
-    let of_time = [Code::DeadlineExceeded.as_str(), Code::UpstreamTimeout.as_str()];
+    let timeout_codes = [Code::DeadlineExceeded.as_str(), Code::UpstreamTimeout.as_str()];
     let codes = ended.iter().filter_map(|one| match &one.outcome {
         Outcome::Failed { verdict, code } if *verdict != Verdict::NotRun => Some(code.as_str()),
         _ => None,
     });
-    let (late, others): (Vec<&str>, Vec<&str>) = codes.partition(|code| of_time.contains(code));
+    let (late, others): (Vec<&str>, Vec<&str>) =
+        codes.partition(|code| timeout_codes.contains(code));
     (late.len(), others.len())
 }
 
-/// Prints each role change when its order has been accepted.
+/// Prints each role change after its order has been accepted.
 async fn show_changes(run: Arc<Run>) {
     let mut shown = vec![0; run.site.engines.len()];
     loop {
@@ -158,7 +160,7 @@
             }
             shown[index] = orders.len();
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
     }
 }
 
@@ -174,7 +176,7 @@
     }
 }
 
-/// Returns the engines of each role, by the last change that each accepted.
+/// Returns the number of engines in each role, by the last change that each engine accepted.
 fn roles(engines: &[EngineServer]) -> RoleCounts {
     let mut counts = RoleCounts::default();
     for engine in engines {
--- a/crates/anvilhook-bench/tests/local_demonstration.rs
+++ b/crates/anvilhook-bench/tests/local_demonstration.rs
@@ -1,4 +1,4 @@
-//! A short run of the local demonstration.
+//! Checks the guarantees in a short run of the local demonstration with faults.
 
 use anvilhook_bench::local::{Plan, PlanOptions, Run, rows};
 use anvilhook_core::units::Millis;
@@ -14,14 +14,14 @@
         instances: 3,
     };
     let plan = Plan::new(&options);
-    let run = Run::start(&options).await.expect("the site starts");
+    let run = Run::start(&options).await.expect("cannot start the site");
 
-    let ended = run.carry_out(&plan, |_fault| {}).await;
+    let ended = run.execute(&plan, |_fault| {}).await;
 
     let rows = rows(&ended, &run.evidence());
     assert_eq!(ended.len(), plan.requests.len());
-    let broken: u64 = rows.iter().map(|row| row.broken()).sum();
-    assert_eq!(broken, 0, "{rows:?}");
+    let violations: u64 = rows.iter().map(|row| row.violations()).sum();
+    assert_eq!(violations, 0, "{rows:?}");
     assert!(rows.iter().all(|row| row.answered > 0), "{rows:?}");
     assert_eq!(run.sent_to_leaving(), 0);
 }
