--- a/crates/anvilhook-bench/src/sites/declarations.rs
+++ b/crates/anvilhook-bench/src/sites/declarations.rs
@@ -1,4 +1,4 @@
-//! Declaring resources in the platform's table, as the operators do.
+//! Declares resources in the platform's table, as the operators do.
 
 use std::sync::Arc;
 
@@ -18,12 +18,12 @@
 ///
 /// # Errors
 ///
-/// The first refusal or failure.
+/// Returns the first refusal or failure.
 pub async fn redeclare<T: Table>(table: &T, resources: Vec<Declared>) -> eyre::Result<()> {
     let options = StoreOptions::new(name::<InstanceName>("operator"));
     let store = ConfigurationStore::new(table.clone(), options);
     let mut cfg = Arc::new(store.load_all().await?);
-    // The revision makes the ids differ from those of the declarations before it.
+    // Seeding with the revision makes the IDs differ from those of earlier declarations.
     let mut rng = ChaCha8Rng::seed_from_u64(cfg.revision().0);
     for declared in resources {
         cfg = declare_one(&store, &cfg, declared, &mut rng).await?;
@@ -31,11 +31,11 @@
     Ok(())
 }
 
-/// Declares resources one after the other and returns the configuration that they make.
+/// Declares resources one after the other in an empty table and returns the resulting configuration.
 ///
 /// # Errors
 ///
-/// The first refusal or failure.
+/// Returns the first refusal or failure.
 pub async fn declare<T: Table>(
     table: T,
     resources: Vec<Declared>,
@@ -57,7 +57,7 @@
 ) -> eyre::Result<Arc<Configuration>> {
     let key = ResourceKey { kind: spec.kind(), name: resource };
     let expected =
-        cfg.get(&key).map_or(Expected::Absent, |standing| Expected::Version(standing.version));
+        cfg.get(&key).map_or(Expected::Absent, |current| Expected::Version(current.version));
     let req = ChangeRequest {
         id: ChangeId::random(rng),
         subject: name("operator"),
--- a/crates/anvilhook-bench/src/sites/mod.rs
+++ b/crates/anvilhook-bench/src/sites/mod.rs
@@ -1,5 +1,5 @@
-//! A small site on loopback: the platform, engines and plain services, all stand-ins, and the
-//! resources that declare them.
+//! Runs a small site on the loopback interface: stand-ins of the platform, the engines and the plain
+//! services, and the resources that declare them.
 
 mod declarations;
 mod resources;
@@ -24,30 +24,30 @@
     token_digest, zone,
 };
 
-/// An address on loopback whose port the kernel chooses.
+/// A loopback address whose port the kernel chooses.
 pub const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// `SiteOptions` describes a site.
+/// `SiteOptions` holds the parameters of a site.
 #[derive(Clone, Debug)]
 pub struct SiteOptions {
     /// The number of engines.
     pub engines: usize,
-    /// What each engine is like.
+    /// The options of each engine.
     pub engine: EngineOptions,
     /// The number of upstreams of the plain services.
     pub plain: usize,
-    /// Further upstreams of the plain services, which run elsewhere.
+    /// Further upstreams of the plain services, which the site does not start.
     pub other_plain: Vec<SocketAddr>,
-    /// How late the platform's list shows an event.
+    /// The delay until the instance list shows a change.
     pub list_lag: Millis,
-    /// What the services promise.
+    /// The time limits of the services.
     pub bounds: Bounds,
-    /// Whether the stand-ins hold their connections, so that those can be made to fail.
+    /// Whether the stand-ins keep track of their connections, so that tests can make them fail.
     pub holds_connections: bool,
-    /// How the instances plan roles, where a pool asks for it.
+    /// The instances' settings for role planning, which apply to pools with automatic roles.
     pub roles: RoleSettings,
-    /// The seed of all that is left to chance.
+    /// The seed of all random choices.
     pub seed: u64,
 }
 
@@ -67,16 +67,16 @@
     }
 }
 
-/// `Site` is a running site without instances.
+/// `Site` holds the running stand-ins of a site, without instances.
 #[derive(Debug)]
 pub struct Site {
-    /// The platform's services, reached within the process.
+    /// The platform's services, called within the process.
     pub platform: LocalPlatform<SystemClock>,
     /// The engines, in the order of their names.
     pub engines: Vec<EngineServer>,
     /// The upstreams of the plain services, in the order of their names.
     pub plain: Vec<PlainServer>,
-    /// What all of them ran.
+    /// The runs of all upstreams of the plain services.
     pub ledger: RunLedger,
     /// The clock of all stand-ins.
     pub clock: SystemClock,
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     ///
-    /// Any failure to listen, or to declare a resource.
+    /// Returns an error if an address cannot be bound or a resource cannot be declared.
     pub async fn start(options: &SiteOptions) -> eyre::Result<Self> {
         let clock = SystemClock::new();
         let platform_options =
@@ -125,7 +125,7 @@
         Ok(Self { platform, engines, plain, ledger, clock, roles: options.roles, platform_server })
     }
 
-    /// Returns where the platform listens.
+    /// Returns the address on which the platform listens.
     pub fn platform_address(&self) -> SocketAddr {
         self.platform_server.address()
     }
@@ -150,7 +150,7 @@
     ///
     /// # Errors
     ///
-    /// A `SettingsError` if the text above breaks a rule.
+    /// Returns a `SettingsError` if the text of [`Site::settings_text`] is invalid.
     pub fn settings(&self, index: usize) -> Result<Settings, settings::SettingsError> {
         let text = self.settings_text(index);
         let settings = settings::parse(Path::new("site.yaml"), &text)?;
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     ///
-    /// Any failure to start.
+    /// Returns an error if the instance cannot be started.
     pub async fn start_instance(
         &self,
         index: usize,
--- a/crates/anvilhook-bench/src/sites/resources.rs
+++ b/crates/anvilhook-bench/src/sites/resources.rs
@@ -1,4 +1,4 @@
-//! What the operators of a small site declare.
+//! The resources that the operators of a small site declare.
 
 use std::net::SocketAddr;
 
@@ -19,11 +19,11 @@
 pub const CHAT_SERVICE: &str = "checklist";
 /// The plain service that pushes alerts.
 pub const ALERT_SERVICE: &str = "alerts";
-/// The plain service that keeps records.
+/// The plain service that stores records.
 pub const LEDGER_SERVICE: &str = "ledger";
-/// The path of each plain service's call that may not be repeated, below the service.
+/// The path, relative to the service, of each plain service's call that is not idempotent.
 pub const CALL_PATH: &str = "/records";
-/// The path of the call that may be repeated.
+/// The path, relative to the service, of the idempotent call.
 pub const ECHO_PATH: &str = "/echo";
 /// The account of all callers.
 pub const ACCOUNT: &str = "kitchens";
@@ -35,24 +35,24 @@
 /// The availability zones, in the order in which upstreams and instances are spread over them.
 pub const ZONES: [&str; 3] = ["piraeus", "marousi", "glyfada"];
 
-/// The most requests that the account may have open, and begin in a second.
+/// The account's limit of open requests, and of requests per second.
 const ACCOUNT_LIMIT: u32 = 1_000_000;
 
-/// `Declared` is one resource to declare.
+/// `Declared` is the name and the spec of a resource to declare.
 pub type Declared = (ResourceName, Spec);
 
-/// `Bounds` holds the times that the site's services promise.
+/// `Bounds` holds the time limits of the site's services.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
     /// The deadline of a chat completion.
     pub chat_deadline: Millis,
-    /// The longest time to the first event of one.
+    /// The maximum time to the first event of a chat completion.
     pub chat_first_byte: Millis,
-    /// The longest time between two events.
+    /// The maximum time between two events.
     pub between_events: Millis,
     /// The deadline of a call of a plain service.
     pub plain_deadline: Millis,
-    /// The longest time to the first byte of its answer.
+    /// The maximum time to the first byte of the answer of such a call.
     pub plain_first_byte: Millis,
 }
 
@@ -68,15 +68,15 @@
     }
 }
 
-/// Returns a name that is known to be good.
+/// Parses a name that is known to be valid.
 ///
 /// # Panics
 ///
-/// If the text breaks the rule of names.
+/// Panics if the text is not a valid name.
 pub fn name<T: std::str::FromStr<Err = anvilhook_core::Error>>(text: &str) -> T {
     match text.parse() {
         Ok(name) => name,
-        Err(err) => panic!("a constant name is bad: {err}"),
+        Err(err) => panic!("a constant name is invalid: {err}"),
     }
 }
 
@@ -95,7 +95,7 @@
     name(&format!("plain-{index}"))
 }
 
-/// Returns all resources of a site, each after those that it refers to.
+/// Returns all resources of a site, each one after the resources that it refers to.
 pub fn resources(engines: &[SocketAddr], plain: &[SocketAddr], bounds: &Bounds) -> Vec<Declared> {
     let mut declared = vec![account(), model_version(), pool(model_ref())];
     declared.extend(engines.iter().enumerate().map(|(i, address)| engine(i, *address)));
@@ -107,7 +107,7 @@
     declared
 }
 
-/// Returns a token's digest as settings and accounts hold it.
+/// Returns a token's digest in the form that settings and accounts use.
 pub fn token_digest(token: &str) -> String {
     let digest = Sha256::digest(token.as_bytes());
     digest.iter().map(|byte| format!("{byte:02x}")).collect()
@@ -137,7 +137,7 @@
     (name("standin-1"), Spec::ModelVersion(spec))
 }
 
-/// Returns the pool of all engines, which should serve the given model.
+/// Returns the pool of all engines with the given model and without automatic roles.
 pub fn pool(model: ModelRef) -> Declared {
     let roles = RolePolicy {
         automatic: false,
@@ -148,7 +148,7 @@
     pool_with(model, roles)
 }
 
-/// Returns the pool of all engines with a policy on its roles.
+/// Returns the pool of all engines with the given model and role policy.
 pub fn pool_with(model: ModelRef, roles: RolePolicy) -> Declared {
     let spec = EnginePoolSpec { model, roles, min_serving: 1 };
     (name(POOL), Spec::EnginePool(spec))
