--- a/crates/anvilhook-bench/src/callers/clients.rs
+++ b/crates/anvilhook-bench/src/callers/clients.rs
@@ -1,4 +1,4 @@
-//! Sending requests.
+//! Sends requests as callers do and classifies their outcomes.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -20,27 +20,27 @@
 use super::outcomes::{Answer, Outcome};
 use crate::sites::{CALL_PATH, CHAT_SERVICE, TOKEN};
 
-/// The largest whole answer that a caller takes, in bytes.
+/// The size limit of an answer that is not streamed, in bytes.
 const MAX_ANSWER_BYTES: usize = 16_777_216;
 
-/// How long a caller waits beyond its deadline before it gives up.
-const PATIENCE: Millis = Millis::from_secs(5);
+/// The time for which a caller waits beyond its deadline before it abandons the request.
+const DEADLINE_SLACK: Millis = Millis::from_secs(5);
 
-/// `ChatCall` asks for a chat completion.
+/// `ChatCall` is a request for a chat completion.
 #[derive(Clone, Debug)]
 pub struct ChatCall {
-    /// The one message.
+    /// The only message of the conversation.
     pub prompt: String,
-    /// The most tokens of output.
+    /// The maximum number of output tokens.
     pub max_tokens: u64,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// The time given to the request.
+    /// The time limit of the request.
     pub deadline: Millis,
 }
 
 impl ChatCall {
-    /// Returns the conversation.
+    /// Returns the messages of the conversation.
     pub fn messages(&self) -> Vec<ChatMessage> {
         vec![ChatMessage { role: "user".to_owned(), content: self.prompt.clone() }]
     }
@@ -57,16 +57,16 @@
     }
 }
 
-/// `PlainCall` asks a plain service for something that may not be repeated.
+/// `PlainCall` is a call of a plain service.
 #[derive(Clone, Debug)]
 pub struct PlainCall {
     /// The service.
     pub service: &'static str,
-    /// The idempotency key, if the caller names one.
+    /// The idempotency key, if the caller sends one.
     pub key: Option<String>,
     /// The body.
     pub body: String,
-    /// The time given to the request.
+    /// The time limit of the request.
     pub deadline: Millis,
 }
 
@@ -77,24 +77,24 @@
 }
 
 impl Caller {
-    /// Makes a caller.
+    /// Creates a caller.
     ///
     /// # Errors
     ///
-    /// A `CallError` if the library does not accept the options.
+    /// Returns a `CallError` if the HTTP library does not accept the options.
     pub fn try_new() -> Result<Self, CallError> {
-        // Many callers share this one; each would keep a connection of its own.
+        // Many simulated callers share this client, and each of them would keep its own connection.
         let options = ClientOptions { max_idle_per_address: 20_000, ..ClientOptions::default() };
         Ok(Self { client: HttpClient::try_new(&options)? })
     }
 
-    /// Asks an instance for a chat completion.
+    /// Requests a chat completion from an instance.
     pub async fn chat(&self, instance: SocketAddr, call: &ChatCall) -> Outcome {
         let req = request(COMPLETIONS_PATH, call.body(), call.deadline);
         self.exchange(instance, req, call.stream, call.deadline).await
     }
 
-    /// Asks an engine straight for a chat completion, under an attempt id of the caller's own.
+    /// Requests a chat completion directly from an engine, with an attempt ID chosen by the caller.
     pub async fn chat_direct(
         &self,
         engine: SocketAddr,
@@ -106,7 +106,7 @@
         self.exchange(engine, req, call.stream, call.deadline).await
     }
 
-    /// Calls a plain service through an instance.
+    /// Calls the path of a plain service that is not idempotent, through an instance.
     pub async fn plain(&self, instance: SocketAddr, call: &PlainCall) -> Outcome {
         self.plain_at(instance, CALL_PATH, call).await
     }
@@ -121,7 +121,7 @@
         self.exchange(instance, req, false, call.deadline).await
     }
 
-    /// Calls a path of a plain upstream straight, under an attempt id of the caller's own.
+    /// Calls a path of a plain upstream directly, with an attempt ID chosen by the caller.
     pub async fn plain_direct(
         &self,
         upstream: SocketAddr,
@@ -142,7 +142,7 @@
         deadline: Millis,
     ) -> Outcome {
         let sent_at = Instant::now();
-        let timeout = deadline + PATIENCE;
+        let timeout = deadline + DEADLINE_SLACK;
         let answer = match self.client.send(address, req, Connection::Pooled, timeout).await {
             Ok(answer) => answer,
             Err(err) if err.stage == Stage::Connect => return Outcome::Unreachable,
@@ -168,7 +168,7 @@
     }
 }
 
-/// Reads a stream to its closing event.
+/// Reads a stream up to its closing event.
 async fn read_events(answer: Response, sent_at: Instant) -> Outcome {
     let mut reader = match SseReader::into_sse(answer) {
         Ok(reader) => reader,
@@ -214,8 +214,8 @@
 }
 
 async fn failed(verdict: Verdict, answer: Response) -> Outcome {
-    let patience = PATIENCE;
-    let body = collect_body(answer.into_body(), MAX_ANSWER_BYTES, patience).await;
+    let timeout = DEADLINE_SLACK;
+    let body = collect_body(answer.into_body(), MAX_ANSWER_BYTES, timeout).await;
     let body: serde_json::Value =
         body.ok().and_then(|body| serde_json::from_slice(&body).ok()).unwrap_or_default();
     let code = body["error"]["code"].as_str().unwrap_or_default().to_owned();
--- a/crates/anvilhook-bench/src/callers/mod.rs
+++ b/crates/anvilhook-bench/src/callers/mod.rs
@@ -1,4 +1,5 @@
-//! Callers: requests sent to an instance, or straight to an upstream, and what became of each.
+//! Simulates callers, which send requests to an instance or directly to an upstream and record the
+//! outcome of each.
 
 mod clients;
 mod outcomes;
--- a/crates/anvilhook-bench/src/callers/outcomes.rs
+++ b/crates/anvilhook-bench/src/callers/outcomes.rs
@@ -1,45 +1,45 @@
-//! What became of a request, as its caller sees it.
+//! The outcomes of requests, as their callers see them.
 
 use std::time::Duration;
 
 use anvilhook_core::Verdict;
 
-/// `Answer` is a whole answer.
+/// `Answer` is a complete answer with its times.
 #[derive(Clone, Debug, Default, Eq, PartialEq)]
 pub struct Answer {
     /// The text of a completion, or the body of a plain answer.
     pub text: String,
-    /// From sending to the first event or byte.
+    /// The time from sending the request to the first event or byte.
     pub first: Duration,
-    /// Between one event and the next.
+    /// The times between successive events.
     pub gaps: Vec<Duration>,
-    /// From sending to the end.
+    /// The time from sending the request to the end of the answer.
     pub whole: Duration,
 }
 
-/// `Outcome` is what became of a request.
+/// `Outcome` is the result of a request, as its caller sees it.
 #[derive(Clone, Debug, Eq, PartialEq)]
 pub enum Outcome {
-    /// The answer came whole.
+    /// The complete answer was received.
     Answered(Answer),
-    /// The instance said that the request failed, with its verdict and code.
+    /// The instance reported that the request failed, with a verdict and a code.
     Failed {
-        /// Whether the request may have run, by the instance's word.
+        /// Whether the request ran, as the instance reported.
         verdict: Verdict,
-        /// The instance's code, such as `draining`.
+        /// The error code, such as `draining`.
         code: String,
     },
-    /// No connection could be made.
+    /// No connection could be established.
     Unreachable,
-    /// The answer was cut, or did not come, without a word of the instance.
+    /// The answer was truncated or missing, and no failure was reported.
     Lost {
-        /// What was seen.
+        /// The error that the caller observed.
         message: String,
     },
 }
 
 impl Outcome {
-    /// Returns the answer, if it came whole.
+    /// Returns the answer if it was received completely.
     pub fn answer(&self) -> Option<&Answer> {
         match self {
             Outcome::Answered(answer) => Some(answer),
