--- a/crates/anvilhook-bench/src/bin/anvilhook-bench.rs
+++ b/crates/anvilhook-bench/src/bin/anvilhook-bench.rs
@@ -1,4 +1,4 @@
-//! `anvilhook-bench`: measurements, one subcommand each.
+//! `anvilhook-bench` runs measurements, each as a subcommand.
 
 use anvilhook_bench::{control, policy, proxy};
 use argh::FromArgs;
@@ -10,7 +10,7 @@
     bench: Bench,
 }
 
-/// `Bench` is the measurement asked for.
+/// `Bench` is the measurement to run.
 #[derive(FromArgs)]
 #[argh(subcommand)]
 enum Bench {
--- a/crates/anvilhook-bench/src/bin/anvilhook-local.rs
+++ b/crates/anvilhook-bench/src/bin/anvilhook-local.rs
@@ -1,4 +1,4 @@
-//! `anvilhook-local`: the local demonstration.
+//! `anvilhook-local` runs the local demonstration.
 
 use std::process::ExitCode;
 
--- a/crates/anvilhook-bench/src/lib.rs
+++ b/crates/anvilhook-bench/src/lib.rs
@@ -1,6 +1,6 @@
-//! The local demonstration and the bench.
+//! The local demonstration and the benches of the policy, the control plane and the proxy.
 //!
-//! Each subcommand of `anvilhook-bench` is one module with an `Args` struct and a `run` function.
+//! Each subcommand of `anvilhook-bench` is a module with an `Args` struct and a `run` function.
 #![forbid(unsafe_code)]
 
 pub mod callers;
