--- a/crates/anvilhook-bench/tests/planned_changes.rs
+++ b/crates/anvilhook-bench/tests/planned_changes.rs
@@ -1,4 +1,4 @@
-//! Planned changes of engines under load, through the whole of the daemon.
+//! Tests planned changes of engines under load with complete daemon instances.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,15 +11,15 @@
 use anvilhook_standin::engines::{AttemptEnd, EngineOptions, EngineServer, expected_output};
 use tokio::task::JoinHandle;
 
-/// The pause between two looks at something that is being waited for.
-const LOOK_AGAIN: Millis = Millis(20);
+/// The interval between two checks of a condition that is waited for.
+const CHECK_INTERVAL: Millis = Millis(20);
 
 fn next_version() -> ModelRef {
     ModelRef { model: name("standin"), version: 2 }
 }
 
-/// Asks one question after the other until it is told to stop, and returns what became of each.
-fn keep_asking(
+/// Sends one question after the other until `done` is set, and returns the outcome of each.
+fn spawn_caller(
     caller: Caller,
     instance: std::net::SocketAddr,
     number: usize,
@@ -43,22 +43,22 @@
     engine.orders().iter().any(|record| record.order.order == wanted && record.end.is_some())
 }
 
-/// Symptom: callers get half answers whenever a model is replaced.
-/// Sequence: a new version is declared; each engine drains, loads it and serves again, one after the
-/// other, while callers go on asking at both instances.
-/// Cause: an order to an engine that an instance still sends work to, or still waits for.
+/// Guards against truncated answers when a model is replaced. A new version is declared, and the
+/// engines drain, load it and return to service one after the other, while callers continue at both
+/// instances. An answer is truncated if an engine gets its order while an instance still sends it work
+/// or still waits for its answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_a_new_model_version_cuts_no_request() {
     let engine = EngineOptions { model_load: Millis(300), ..EngineOptions::default().faster(10.0) };
     let options = SiteOptions { engines: 3, engine, ..SiteOptions::default() };
-    let site = Site::start(&options).await.expect("the site starts");
-    let first = site.start_instance(0, 1).await.expect("an instance starts");
-    let second = site.start_instance(1, 2).await.expect("another instance starts");
-    let caller = Caller::try_new().expect("a caller");
+    let site = Site::start(&options).await.expect("cannot start the site");
+    let first = site.start_instance(0, 1).await.expect("cannot start the first instance");
+    let second = site.start_instance(1, 2).await.expect("cannot start the second instance");
+    let caller = Caller::try_new().expect("cannot create the caller");
     let done = Arc::new(AtomicBool::new(false));
     let instances = [first.addresses().callers, second.addresses().callers];
-    let asking: Vec<_> = (0..6)
-        .map(|i| keep_asking(caller.clone(), instances[i % 2], i, Arc::clone(&done)))
+    let callers: Vec<_> = (0..6)
+        .map(|i| spawn_caller(caller.clone(), instances[i % 2], i, Arc::clone(&done)))
         .collect();
 
     let weights = ModelVersionSpec {
@@ -68,16 +68,16 @@
         kv_bytes_per_token: 131_072,
     };
     let version = (name("standin-2"), Spec::ModelVersion(weights));
-    redeclare(&site.platform, vec![version]).await.expect("the version is declared");
+    redeclare(&site.platform, vec![version]).await.expect("cannot declare the version");
     let pool = pool(next_version());
-    redeclare(&site.platform, vec![pool]).await.expect("the pool is changed");
+    redeclare(&site.platform, vec![pool]).await.expect("cannot change the pool");
     while !site.engines.iter().all(has_loaded) {
-        tokio::time::sleep(LOOK_AGAIN.as_duration()).await;
+        tokio::time::sleep(CHECK_INTERVAL.as_duration()).await;
     }
     done.store(true, Ordering::Release);
 
-    for task in asking {
-        for (call, outcome) in task.await.expect("the caller's task ends") {
+    for task in callers {
+        for (call, outcome) in task.await.expect("the caller's task panicked") {
             let expected = expected_output(&call.messages(), Tokens(call.max_tokens));
             let answer = outcome.answer().unwrap_or_else(|| panic!("{call:?}: {outcome:?}"));
             assert_eq!(answer.text, expected);
@@ -87,8 +87,8 @@
         let cut = |end| matches!(end, Some((AttemptEnd::Cut, _)));
         assert!(!engine.attempts().iter().any(|attempt| cut(attempt.end)));
         let orders = engine.orders();
-        assert_eq!(orders.len(), 1, "each engine is given the order once");
-        assert!(orders[0].cut.is_empty(), "the order cuts {:?}", orders[0].cut);
+        assert_eq!(orders.len(), 1, "each engine must receive the order once");
+        assert!(orders[0].cut.is_empty(), "the order interrupted {:?}", orders[0].cut);
     }
     first.stop().await;
     second.stop().await;
--- a/crates/anvilhook-bench/tests/policy.rs
+++ b/crates/anvilhook-bench/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Regression bounds of the policy, on fixed seeds and short runs.
+//! Checks regression bounds of the policy on short runs with fixed seeds.
 
 use anvilhook_bench::policy::{
     Deployment, Policy, Row, RunOptions, Scenario, Split, Workload, run_one,
@@ -7,7 +7,7 @@
 
 const SEED: u64 = 1;
 
-/// Long enough for the mix to go from one end to the other.
+/// The length of a run, in which the mix swings from its one extreme to the other.
 const HORIZON: Millis = Millis::from_secs(300);
 
 fn run(deployment: Deployment, scenario: Scenario, load_pct: u32, policy: &Policy) -> Row {
@@ -17,7 +17,7 @@
 
 fn baseline(name: &str) -> Policy {
     let all = Policy::baselines(Split { prefill: 4, decode: 4 });
-    all.into_iter().find(|policy| policy.name == name).expect("a baseline's name")
+    all.into_iter().find(|policy| policy.name == name).expect("the name of a baseline")
 }
 
 #[test]
@@ -29,7 +29,7 @@
 
 #[test]
 fn verify_share_of_the_bound() {
-    // Each: the site, the scenario, the load and the least share of the bound.
+    // Each entry holds the site, the scenario, the load and the minimum share of the bound.
     let least = [
         (Deployment::Papadakis, Scenario::Swing, 80, 0.95),
         (Deployment::Papadakis, Scenario::Swing, 120, 0.74),
@@ -43,9 +43,12 @@
 
         let what = format!("{} {} {load_pct}", row.deployment, row.scenario);
         assert!(row.bound_share >= least, "{what}: {}", row.bound_share);
-        assert!(row.bound_share <= 1.0, "{what}: no policy can pass the bound");
+        assert!(row.bound_share <= 1.0, "{what}: no policy can exceed the bound");
         assert!(row.record_in_time >= 0.999, "{what}: {} of records", row.record_in_time);
-        assert_eq!(row.role_changes, 0, "{what}: the users' mixes pay for no change");
+        assert_eq!(
+            row.role_changes, 0,
+            "{what}: no role change is worth its cost in the users' mixes"
+        );
     }
 }
 
@@ -64,14 +67,14 @@
 }
 
 #[test]
-fn verify_arguments_that_name_nothing_are_refused() {
+fn verify_unknown_names_in_arguments_are_refused() {
     let args = |name: &str, value: &str| {
         use argh::FromArgs;
         anvilhook_bench::policy::Args::from_args(&["policy"], &[name, value]).expect("parses")
     };
 
     for name in ["--deployment", "--scenario"] {
-        let err = RunOptions::try_new(&args(name, "nowhere")).expect_err("names nothing");
+        let err = RunOptions::try_new(&args(name, "nowhere")).expect_err("the name is unknown");
         assert!(err.to_string().starts_with(name), "{err}");
     }
 }
