--- a/crates/anvilhook-bench/src/control/fleets.rs
+++ b/crates/anvilhook-bench/src/control/fleets.rs
@@ -19,7 +19,7 @@
 use tokio::runtime::{Builder, Runtime};
 
 use super::engines::Engines;
-use super::instances::{ControlInstance, Surroundings, listen};
+use super::instances::{ControlInstance, FleetContext, listen};
 use super::processes::{CONTROL_THREAD, PLATFORM_THREAD};
 
 /// The number of threads that the instances share, in addition to one for each peer link.
@@ -99,14 +99,14 @@
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         let serving = PlatformServer::start(any_port, view.clone());
         let server = self.platform_runtime.block_on(serving)?;
-        let surroundings = Surroundings {
+        let context = FleetContext {
             platform: server.address(),
             announced,
             plans: self.engines.plans(),
             index,
         };
         let entered = self.control.enter();
-        let instance = ControlInstance::start(address, listener, surroundings)?;
+        let instance = ControlInstance::start(address, listener, context)?;
         drop(entered);
         self.views.push(view);
         self.servers.push(server);
@@ -139,7 +139,7 @@
         Ok(self.control.block_on(self.platform.list())?)
     }
 
-    /// Sets the state of an instance in the instance list, which shows it after [`LIST_LAG`].
+    /// Sets the state of an instance in the instance list, which shows it after `LIST_LAG`.
     ///
     /// # Errors
     ///
--- a/crates/anvilhook-bench/src/control/instances.rs
+++ b/crates/anvilhook-bench/src/control/instances.rs
@@ -59,8 +59,8 @@
     tasks: JoinSet<()>,
 }
 
-/// `Surroundings` holds what an instance needs from its fleet when it starts.
-pub(super) struct Surroundings {
+/// `FleetContext` holds what an instance needs from its fleet when it starts.
+pub(super) struct FleetContext {
     pub(super) platform: SocketAddr,
     pub(super) announced: Vec<PeerAddress>,
     pub(super) plans: watch::Receiver<Arc<Vec<PoolPlan>>>,
@@ -86,9 +86,9 @@
     pub(super) fn start(
         address: PeerAddress,
         listener: TcpListener,
-        surroundings: Surroundings,
+        context: FleetContext,
     ) -> eyre::Result<Self> {
-        let Surroundings { platform, announced, plans, index } = surroundings;
+        let FleetContext { platform, announced, plans, index } = context;
         let table = HttpPlatform::try_new(platform, &HttpPlatformOptions::default())?;
         let store = ConfigurationStore::new(table.clone(), StoreOptions::new(address.name.clone()));
         let follower = ConfigurationFollower::new(store);
--- a/crates/anvilhook-bench/src/control/scenarios.rs
+++ b/crates/anvilhook-bench/src/control/scenarios.rs
@@ -203,7 +203,7 @@
     let apply_times = wait_until_applied(fleet, revision, started_at);
     std::thread::sleep(Duration::from_secs(plan.seconds).saturating_sub(started_at.elapsed()));
     fleet.platform.faults().set_reach_of(Service::Table, Reach::Up);
-    // The other instances had applied the revision before, so only the new one's time counts.
+    // The other instances had applied the revision before, so only the time of the new one counts.
     let late = apply_times?.pop().into_iter().collect();
     row(
         "start-table-down",
--- a/crates/anvilhook-bench/src/local/audits.rs
+++ b/crates/anvilhook-bench/src/local/audits.rs
@@ -11,9 +11,9 @@
 use super::rows::Row;
 use crate::callers::{Answer, ChatCall, Outcome, PlainCall};
 
-/// `Ended` is a request with its outcome.
+/// `CompletedRequest` is a request with its outcome.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct CompletedRequest {
     /// The request.
     pub planned: Planned,
     /// The outcome as the caller saw it.
@@ -48,27 +48,27 @@
 }
 
 /// Counts all requests in one row for each kind.
-pub fn rows(ended: &[Ended], evidence: &Evidence) -> Vec<Row> {
+pub fn rows(ended: &[CompletedRequest], evidence: &Evidence) -> Vec<Row> {
     let mut rows: HashMap<Kind, Row> = HashMap::new();
-    for one in ended {
-        let kind = one.planned.kind;
+    for request in ended {
+        let kind = request.planned.kind;
         let row = rows.entry(kind).or_insert_with(|| Row::new(kind));
-        count(row, one, evidence);
+        count(row, request, evidence);
     }
     Kind::ALL.into_iter().filter_map(|kind| rows.remove(&kind)).collect()
 }
 
-fn count(row: &mut Row, one: &Ended, evidence: &Evidence) {
-    let body = &one.planned.body;
+fn count(row: &mut Row, request: &CompletedRequest, evidence: &Evidence) {
+    let body = &request.planned.body;
     let runs = evidence.runs(body);
     let is_plain = matches!(body, Body::Plain(_));
     row.sent += 1;
     if is_plain && runs > 1 {
         row.doubled += 1;
     }
-    match &one.outcome {
+    match &request.outcome {
         Outcome::Answered(answer) => {
-            row.record_answer(answer, is_in_time(one.planned.kind, answer));
+            row.record_answer(answer, is_in_time(request.planned.kind, answer));
             if !is_own(body, answer) {
                 row.crossed += 1;
             }
--- a/crates/anvilhook-bench/src/local/mod.rs
+++ b/crates/anvilhook-bench/src/local/mod.rs
@@ -15,7 +15,7 @@
 use argh::FromArgs;
 use serde::Serialize;
 
-pub use audits::{Ended, Evidence, rows};
+pub use audits::{CompletedRequest, Evidence, rows};
 pub use kinds::Kind;
 pub use plans::{Body, Fault, FaultKind, Plan, PlanOptions, Planned};
 pub use rows::{Percentiles, Row, RowReport, micros_histogram, table};
--- a/crates/anvilhook-bench/src/local/runs.rs
+++ b/crates/anvilhook-bench/src/local/runs.rs
@@ -8,7 +8,7 @@
 use anvilhook_platform::{ListedInstance, ListedState};
 use tokio::task::{JoinHandle, JoinSet};
 
-use super::audits::{Ended, Evidence};
+use super::audits::{CompletedRequest, Evidence};
 use super::plans::{Body, Fault, FaultKind, Plan, PlanOptions, Planned};
 use crate::callers::{Caller, Outcome};
 use crate::sites::{Site, SiteOptions, engine_name, zone};
@@ -89,7 +89,11 @@
     }
 
     /// Executes a plan and returns the outcomes of its requests. Calls `on_fault` before each fault.
-    pub async fn execute(self: &Arc<Self>, plan: &Plan, on_fault: impl Fn(&Fault)) -> Vec<Ended> {
+    pub async fn execute(
+        self: &Arc<Self>,
+        plan: &Plan,
+        on_fault: impl Fn(&Fault),
+    ) -> Vec<CompletedRequest> {
         let started_at = self.clock.now();
         let mut requests = plan.requests.iter().enumerate().peekable();
         let mut faults = plan.faults.iter().peekable();
@@ -132,14 +136,14 @@
         late.sum()
     }
 
-    async fn send(&self, number: usize, planned: Planned) -> Ended {
+    async fn send(&self, number: usize, planned: Planned) -> CompletedRequest {
         let mut outcome = self.send_once(number, &planned.body).await;
         // A caller that sent an idempotency key may retry at another instance. The key prevents a
         // second run of the call and makes the instance return the answer that was lost.
         if planned.body.has_key() && outcome.answer().is_none() && !outcome.is_not_run() {
             outcome = self.send_once(number + 1, &planned.body).await;
         }
-        Ended { planned, outcome }
+        CompletedRequest { planned, outcome }
     }
 
     async fn send_once(&self, number: usize, body: &Body) -> Outcome {
@@ -183,7 +187,7 @@
         lock(&self.drained).push((index, self.site.clock.now()));
     }
 
-    /// Starts a graceful stop, and lets the balancer remove the instance after [`BALANCER_LAG`]. A
+    /// Starts a graceful stop, and lets the balancer remove the instance after `BALANCER_LAG`. A
     /// balancer checks readiness only periodically, so the instance still receives some requests and
     /// has to refuse them.
     fn stop_instance(self: &Arc<Self>, index: usize) {
--- a/crates/anvilhook-bench/src/local/swings.rs
+++ b/crates/anvilhook-bench/src/local/swings.rs
@@ -20,7 +20,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::plans::{arrivals, text};
-use super::{Args, Body, Ended, Kind, Plan, Planned, Report, Row, Run, rows, table};
+use super::{Args, Body, CompletedRequest, Kind, Plan, Planned, Report, Row, Run, rows, table};
 use crate::callers::{ChatCall, Outcome};
 use crate::sites::{SiteOptions, model_ref, pool_with, redeclare};
 
@@ -135,9 +135,9 @@
 
 /// Counts the failed requests that may have run. Returns first those that exceeded a time limit, which
 /// an overload explains, and then all others, which it does not explain.
-fn failures(ended: &[Ended]) -> (usize, usize) {
+fn failures(ended: &[CompletedRequest]) -> (usize, usize) {
     let timeout_codes = [Code::DeadlineExceeded.as_str(), Code::UpstreamTimeout.as_str()];
-    let codes = ended.iter().filter_map(|one| match &one.outcome {
+    let codes = ended.iter().filter_map(|request| match &request.outcome {
         Outcome::Failed { verdict, code } if *verdict != Verdict::NotRun => Some(code.as_str()),
         _ => None,
     });
--- a/crates/anvilhook-bench/src/policy/instances.rs
+++ b/crates/anvilhook-bench/src/policy/instances.rs
@@ -39,7 +39,7 @@
     /// Refuse the request as not run.
     Refuse,
     /// No engine accepts the request at present.
-    Nowhere,
+    NoEngine,
 }
 
 /// `Sent` is work that the instance publishes to its peers.
@@ -185,8 +185,8 @@
         match policy.router {
             Router::Cost(_) => self.start_by_cost(policy, &req, &names, now),
             Router::Holder(rule) => {
-                let blind = RouteRequest { prefix: &[], ..req };
-                let req = if rule.waits(&mut self.rng) { req } else { blind };
+                let without_prefix = RouteRequest { prefix: &[], ..req };
+                let req = if rule.waits(&mut self.rng) { req } else { without_prefix };
                 self.start_by_cost(policy, &req, &names, now)
             }
             _ => self.start_as_baseline(policy, request, tried, &holders),
@@ -206,7 +206,7 @@
             let req = route_request(request);
             let (table, rng) = (&self.table, &mut self.rng);
             let chosen = table.choose_for(Phase::Decode, &req, &names, now, rng);
-            let Some(chosen) = chosen else { return Decision::Nowhere };
+            let Some(chosen) = chosen else { return Decision::NoEngine };
             let work = chosen.work(Phase::Decode, request.work);
             let engine = self.index_of(chosen.upstream);
             return Decision::Send { engine, phase: Phase::Decode, work };
@@ -247,7 +247,7 @@
         now: Millis,
     ) -> Decision {
         let placement = self.table.place(req, tried, now, &mut self.rng);
-        let Some(placement) = placement else { return Decision::Nowhere };
+        let Some(placement) = placement else { return Decision::NoEngine };
         if policy.admission {
             let options = AdmissionOptions::default();
             let decision = decide(&options, placement.total(), req.deadline, now);
@@ -283,7 +283,7 @@
         let (table, rng, chooser) = (&self.table, &mut self.rng, &mut self.chooser);
         let query = RouterQuery { phase, tried, holders, blocks: request.blocks.len() };
         let engine = chooser.choose(&policy.router, table, &query, rng);
-        let Some(engine) = engine else { return Decision::Nowhere };
+        let Some(engine) = engine else { return Decision::NoEngine };
         // A mixed engine generates the output of the prompt that it has read.
         let role = self.engines[engine].role();
         let phase = if Phase::Whole.fits(role) { Phase::Whole } else { phase };
@@ -297,7 +297,7 @@
         request: &Request,
         holders: &Holders,
     ) -> Decision {
-        let Some(engine) = engine else { return Decision::Nowhere };
+        let Some(engine) = engine else { return Decision::NoEngine };
         let slot = CacheSlot(engine as u16);
         let uncached = uncached(request, holders.blocks_of(slot));
         let work = match phase {
--- a/crates/anvilhook-bench/src/policy/policies.rs
+++ b/crates/anvilhook-bench/src/policy/policies.rs
@@ -61,7 +61,8 @@
         }
     }
 
-    /// Returns whether the holders of the prefix are considered, drawing at random if the rule says so.
+    /// Returns whether a request considers the holders of its prefix, drawn from `rng` under
+    /// [`HolderRule::Random`].
     pub fn waits(self, rng: &mut ChaCha8Rng) -> bool {
         match self {
             HolderRule::Turnaround | HolderRule::AlwaysWait => true,
--- a/crates/anvilhook-bench/src/policy/workloads.rs
+++ b/crates/anvilhook-bench/src/policy/workloads.rs
@@ -26,8 +26,8 @@
 /// The accounts that share a site's load.
 pub const ACCOUNTS: usize = 6;
 
-/// The account that floods. [`FLOOD_SHARE`] is the share of the site's capacity that it requests in
-/// addition to its usual part, [`FLOOD_LIMIT_SHARE`] the share that any account may use.
+/// The account that floods. `FLOOD_SHARE` is the share of the site's capacity that it requests in
+/// addition to its usual part, and `FLOOD_LIMIT_SHARE` the share that any account may use.
 pub const FLOODING: usize = 0;
 const FLOOD_SHARE: f64 = 1.0;
 const FLOOD_LIMIT_SHARE: f64 = 0.4;
--- a/crates/anvilhook-bench/src/policy/worlds/mod.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/mod.rs
@@ -25,7 +25,7 @@
 use super::scenarios::Scenario;
 use super::workloads::Workload;
 
-use reports::{DIGEST_INTERVAL, SEEN_INTERVAL};
+use reports::{DIGEST_INTERVAL, WORK_SHARE_INTERVAL};
 use requests::Flight;
 use timers::{Timer, Timers};
 
@@ -95,7 +95,7 @@
             self.timers.set(offset, Timer::Poll(index));
             self.timers.set(offset + DIGEST_INTERVAL, Timer::Digest(index));
         }
-        self.timers.set(SEEN_INTERVAL, Timer::Seen);
+        self.timers.set(WORK_SHARE_INTERVAL, Timer::ShareWork);
         self.timers.set(PLAN_INTERVAL, Timer::Plan);
         let faults = self.workload.scenario.faults(self.workload.horizon);
         for (index, (at, engine, _)) in faults.into_iter().enumerate() {
@@ -134,7 +134,7 @@
             }
             Timer::Poll(instance) => self.poll(instance),
             Timer::Digest(instance) => self.send_digest(instance),
-            Timer::Seen => self.share_observed_work(),
+            Timer::ShareWork => self.share_observed_work(),
             Timer::Plan => self.plan(),
             Timer::Fault { engine, index } => self.fault(engine, index),
             Timer::Restart(engine) => self.restart(engine),
--- a/crates/anvilhook-bench/src/policy/worlds/reports.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/reports.rs
@@ -14,7 +14,7 @@
 pub(super) const DIGEST_INTERVAL: Millis = Millis(500);
 
 /// The interval at which the work observed by all instances is summed.
-pub(super) const SEEN_INTERVAL: Millis = Millis(1_000);
+pub(super) const WORK_SHARE_INTERVAL: Millis = Millis(1_000);
 
 impl World<'_> {
     pub(super) fn poll(&mut self, instance: usize) {
@@ -52,13 +52,13 @@
     /// Sums the work observed by all instances, which each of them learns from the digests.
     pub(super) fn share_observed_work(&mut self) {
         let seen = self.instances.iter().fold(ObservedWork::default(), |sum, instance| {
-            sum.plus(instance.meter.take(SEEN_INTERVAL))
+            sum.plus(instance.meter.take(WORK_SHARE_INTERVAL))
         });
         if self.policy.lanes {
             self.instances.iter_mut().for_each(|instance| instance.move_lanes(&seen));
         }
-        let part = SEEN_INTERVAL.as_secs_f64() / PLAN_INTERVAL.as_secs_f64();
+        let part = WORK_SHARE_INTERVAL.as_secs_f64() / PLAN_INTERVAL.as_secs_f64();
         self.seen = self.seen.plus(seen.times(part));
-        self.timers.set(self.now + SEEN_INTERVAL, Timer::Seen);
+        self.timers.set(self.now + WORK_SHARE_INTERVAL, Timer::ShareWork);
     }
 }
--- a/crates/anvilhook-bench/src/policy/worlds/requests.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/requests.rs
@@ -94,7 +94,7 @@
         match decision {
             Decision::Send { engine, phase, work } => self.send(index, engine, phase, work),
             Decision::Refuse => self.end(index, Outcome::Refused),
-            Decision::Nowhere => {
+            Decision::NoEngine => {
                 // The engines that were tried may be healthy again.
                 self.flights[index].tried.clear();
                 self.timers.set(self.now + RETRY_DELAY, Timer::Retry(index));
--- a/crates/anvilhook-bench/src/policy/worlds/timers.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/timers.rs
@@ -25,7 +25,7 @@
     /// An instance publishes to its peers the work that it has sent.
     Digest(usize),
     /// The work observed by all instances is summed.
-    Seen,
+    ShareWork,
     /// The roles are planned.
     Plan,
     /// A fault of the scenario happens, given by its index in the scenario.
--- a/crates/anvilhook-bench/src/sites/mod.rs
+++ b/crates/anvilhook-bench/src/sites/mod.rs
@@ -43,7 +43,7 @@
     pub list_lag: Millis,
     /// The time limits of the services.
     pub bounds: Bounds,
-    /// Whether the stand-ins keep track of their connections, so that tests can make them fail.
+    /// Whether the stand-ins track their connections, so that these can be made to fail.
     pub holds_connections: bool,
     /// The instances' settings for role planning, which apply to pools with automatic roles.
     pub roles: RoleSettings,
