--- a/crates/anvilhook-bench/src/control/controllers.rs
+++ b/crates/anvilhook-bench/src/control/controllers.rs
@@ -28,7 +28,8 @@
 pub(super) struct AckBoard {
     peers: PeerHandle,
     section: Mutex<AckSection>,
-    // The generation of the drain that the bench makes every instance acknowledge, or zero for none.
+    // The generation of the drain that the bench makes every instance acknowledge, or zero for
+    // none.
     drill: AtomicU64,
 }
 
@@ -61,9 +62,9 @@
     }
 }
 
-/// `DrainTask` runs an instance's follower of drains. It is a separate task, as in the daemon, because
-/// each poll runs into its timeout while the table is unreachable, and the controller must not wait for
-/// that.
+/// `DrainTask` runs an instance's follower of drains. It is a separate task, as in the daemon,
+/// because each poll runs into its timeout while the table is unreachable, and the controller must
+/// not wait for that.
 pub(super) struct DrainTask {
     pub(super) me: InstanceName,
     pub(super) platform: HttpPlatform,
--- a/crates/anvilhook-bench/src/control/engines.rs
+++ b/crates/anvilhook-bench/src/control/engines.rs
@@ -1,5 +1,5 @@
-//! The engines that the instances control: one pool that checks fencing numbers, and one that ignores
-//! them.
+//! The engines that the instances control: one pool that checks fencing numbers, and one that
+//! ignores them.
 
 use std::sync::Arc;
 
--- a/crates/anvilhook-bench/src/control/mod.rs
+++ b/crates/anvilhook-bench/src/control/mod.rs
@@ -2,8 +2,8 @@
 //! instances in one process.
 //!
 //! Each instance follows the configuration over HTTP from the platform stand-in, reports its
-//! revision, and runs its peer link over the loopback interface, as the daemon does. The time until a
-//! change is applied is measured from the moment at which it was accepted.
+//! revision, and runs its peer link over the loopback interface, as the daemon does. The time until
+//! a change is applied is measured from the moment at which it was accepted.
 
 mod controllers;
 mod engines;
@@ -58,7 +58,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a part cannot be started or a change is not applied on all instances in time.
+/// Returns an error if a part cannot be started or a change is not applied on all instances in
+/// time.
 pub fn run(args: &Args) -> eyre::Result<()> {
     let sizes = if args.instances.is_empty() { SIZES.to_vec() } else { args.instances.clone() };
     let plan = Plan { seconds: args.seconds, changes: args.changes, resources: args.resources };
--- a/crates/anvilhook-bench/src/control/processes.rs
+++ b/crates/anvilhook-bench/src/control/processes.rs
@@ -5,8 +5,8 @@
 /// The size of a page in `statm`, in bytes.
 const PAGE_BYTES: u64 = 4_096;
 
-/// The name of the threads that run the instances. The stand-in's threads have another name, so that
-/// their processor time is not counted as the instances'.
+/// The name of the threads that run the instances. The stand-in's threads have another name, so
+/// that their processor time is not counted as the instances'.
 pub(super) const CONTROL_THREAD: &str = "control";
 /// The name of the peer links' threads.
 const PEER_THREAD: &str = "anvilhook-peer";
--- a/crates/anvilhook-bench/src/control/rows.rs
+++ b/crates/anvilhook-bench/src/control/rows.rs
@@ -12,7 +12,8 @@
     pub(super) scenario: &'static str,
     /// The number of instances.
     pub(super) instances: usize,
-    /// The median over changes and instances of the time from acceptance until the change is applied.
+    /// The median over changes and instances of the time from acceptance until the change is
+    /// applied.
     pub(super) in_force_p50_ms: Option<f64>,
     /// The longest such time.
     pub(super) in_force_max_ms: Option<f64>,
--- a/crates/anvilhook-bench/src/control/scenarios.rs
+++ b/crates/anvilhook-bench/src/control/scenarios.rs
@@ -32,7 +32,8 @@
 ///
 /// # Errors
 ///
-/// Returns an error if a part fails or a change is not applied on all instances within the time limit.
+/// Returns an error if a part fails or a change is not applied on all instances within the time
+/// limit.
 pub(super) fn run_size(
     size: usize,
     plan: &Plan,
--- a/crates/anvilhook-bench/src/control/takeovers.rs
+++ b/crates/anvilhook-bench/src/control/takeovers.rs
@@ -26,8 +26,8 @@
     Released,
     /// The holder is killed, and the platform lists it as gone.
     Killed,
-    /// The holder keeps running without access to the table, and learns of its successor over the peer
-    /// link.
+    /// The holder keeps running without access to the table, and learns of its successor over the
+    /// peer link.
     Partitioned,
 }
 
--- a/crates/anvilhook-bench/src/local/plans.rs
+++ b/crates/anvilhook-bench/src/local/plans.rs
@@ -7,8 +7,8 @@
 use super::kinds::Kind;
 use crate::callers::{ChatCall, PlainCall};
 
-/// The number of manuals with which long documents begin. Requests with the same manual share a prompt
-/// prefix.
+/// The number of manuals with which long documents begin. Requests with the same manual share a
+/// prompt prefix.
 const MANUALS: usize = 6;
 
 /// The bytes of a manual, and of the log that follows it.
--- a/crates/anvilhook-bench/src/local/runs.rs
+++ b/crates/anvilhook-bench/src/local/runs.rs
@@ -88,7 +88,8 @@
         running.map(|member| (member.callers, member.operators)).collect()
     }
 
-    /// Executes a plan and returns the outcomes of its requests. Calls `on_fault` before each fault.
+    /// Executes a plan and returns the outcomes of its requests. Calls `on_fault` before each
+    /// fault.
     pub async fn execute(
         self: &Arc<Self>,
         plan: &Plan,
@@ -125,7 +126,8 @@
         Evidence::new(&self.site.engines, &self.site.ledger)
     }
 
-    /// Returns how many attempts reached an engine later than allowed after it was listed as leaving.
+    /// Returns how many attempts reached an engine later than allowed after it was listed as
+    /// leaving.
     pub fn sent_to_leaving(&self) -> usize {
         let drained = lock(&self.drained);
         let late = drained.iter().map(|(engine, since)| {
@@ -188,8 +190,8 @@
     }
 
     /// Starts a graceful stop, and lets the balancer remove the instance after `BALANCER_LAG`. A
-    /// balancer checks readiness only periodically, so the instance still receives some requests and
-    /// has to refuse them.
+    /// balancer checks readiness only periodically, so the instance still receives some requests
+    /// and has to refuse them.
     fn stop_instance(self: &Arc<Self>, index: usize) {
         let Some(handle) = lock(&self.members)[index].handle.take() else { return };
         let run = Arc::clone(self);
--- a/crates/anvilhook-bench/src/local/swings.rs
+++ b/crates/anvilhook-bench/src/local/swings.rs
@@ -1,9 +1,9 @@
 //! Demonstrates role planning: the mix of requests changes once, and the engines' roles follow it.
 //!
-//! The first part of the load consists of short questions, which mixed engines answer best. The second
-//! part has long prompts with long outputs and little time between two tokens, for which mixed engines
-//! are slow, since reading a prompt (prefill) delays the generation of other outputs. The planner's
-//! times are short here, so that a role change is worth its cost within the run.
+//! The first part of the load consists of short questions, which mixed engines answer best. The
+//! second part has long prompts with long outputs and little time between two tokens, for which
+//! mixed engines are slow, since reading a prompt (prefill) delays the generation of other outputs.
+//! The planner's times are short here, so that a role change is worth its cost within the run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -45,7 +45,8 @@
 /// The interval between two checks of the engines' orders.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Runs the demonstration and returns whether the run met all guarantees and roles followed the mix.
+/// Runs the demonstration and returns whether the run met all guarantees and roles followed the
+/// mix.
 ///
 /// # Errors
 ///
@@ -133,8 +134,8 @@
     Plan { requests, faults: Vec::new() }
 }
 
-/// Counts the failed requests that may have run. Returns first those that exceeded a time limit, which
-/// an overload explains, and then all others, which it does not explain.
+/// Counts the failed requests that may have run. Returns first those that exceeded a time limit,
+/// which an overload explains, and then all others, which it does not explain.
 fn failures(ended: &[CompletedRequest]) -> (usize, usize) {
     let timeout_codes = [Code::DeadlineExceeded.as_str(), Code::UpstreamTimeout.as_str()];
     let codes = ended.iter().filter_map(|request| match &request.outcome {
--- a/crates/anvilhook-bench/src/policy/deployments.rs
+++ b/crates/anvilhook-bench/src/policy/deployments.rs
@@ -71,8 +71,8 @@
         KindSpec { shared, own, output, topics }
     }
 
-    /// Returns the engines' speeds and memory. The KV cache holds about 160,000 tokens, as many as all
-    /// shared texts together.
+    /// Returns the engines' speeds and memory. The KV cache holds about 160,000 tokens, as many as
+    /// all shared texts together.
     pub fn engine_options(self) -> EngineOptions {
         EngineOptions { cache_blocks: 640, token_events: false, ..EngineOptions::default() }
     }
--- a/crates/anvilhook-bench/src/policy/kinds.rs
+++ b/crates/anvilhook-bench/src/policy/kinds.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Returns the time limit for the complete answer. The limit of a question follows from the target
-    /// of 1.2 s to the first token and 40 ms between tokens.
+    /// Returns the time limit for the complete answer. The limit of a question follows from the
+    /// target of 1.2 s to the first token and 40 ms between tokens.
     pub fn time_limit(self, output: Tokens) -> Millis {
         match self {
             Kind::Record => Millis(1_000),
--- a/crates/anvilhook-bench/src/policy/outcomes.rs
+++ b/crates/anvilhook-bench/src/policy/outcomes.rs
@@ -129,7 +129,8 @@
             }
             let in_time = outcome.is_in_time(request.deadline);
             if request.of_flood {
-                // Beyond the account's limit an answer adds no goodput, and a missing answer is no failure.
+                // Beyond the account's limit an answer adds no goodput, and a missing answer is no
+                // failure.
                 if !in_time || left_of_flood == 0 {
                     continue;
                 }
--- a/crates/anvilhook-bench/src/policy/policies.rs
+++ b/crates/anvilhook-bench/src/policy/policies.rs
@@ -26,8 +26,8 @@
     LeastOutstanding,
     /// The one with fewer open requests of two engines drawn at random.
     PowerOfTwo,
-    /// The engine that is assumed to cache the largest part of the prompt, otherwise the one with the
-    /// fewest open requests.
+    /// The engine that is assumed to cache the largest part of the prompt, otherwise the one with
+    /// the fewest open requests.
     CacheAffinity,
     /// The engine with the lowest cost, as the core computes it.
     Cost(CostOptions),
@@ -35,12 +35,12 @@
     Holder(HolderRule),
 }
 
-/// `HolderRule` is one way to choose between an engine that holds the prefix, where a request may have
-/// to wait, and an engine with a cold cache.
+/// `HolderRule` is one way to choose between an engine that holds the prefix, where a request may
+/// have to wait, and an engine with a cold cache.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum HolderRule {
-    /// Use the engine that answers sooner, as Lackner et al. choose between fast storage with a queue
-    /// and slow storage without one (Algorithm 2).
+    /// Use the engine that answers sooner, as Lackner et al. choose between fast storage with a
+    /// queue and slow storage without one (Algorithm 2).
     Turnaround,
     /// Always wait for the holder.
     AlwaysWait,
--- a/crates/anvilhook-bench/src/policy/role_control.rs
+++ b/crates/anvilhook-bench/src/policy/role_control.rs
@@ -122,9 +122,9 @@
         (0..Deployment::ENGINES).map(engine).collect()
     }
 
-    /// Returns the changes that match the share of prefill engines to the share of prefill in the work
-    /// at once, with all other engines in the decode role. The mix is smoothed over about ten seconds,
-    /// as the plan would otherwise follow every irregular arrival.
+    /// Returns the changes that match the share of prefill engines to the share of prefill in the
+    /// work at once, with all other engines in the decode role. The mix is smoothed over about ten
+    /// seconds, as the plan would otherwise follow every irregular arrival.
     fn plan_greedily(&mut self, seen: &ObservedWork, serving: &[bool]) -> Vec<(usize, Role)> {
         self.seen = if self.seen == ObservedWork::default() {
             *seen
--- a/crates/anvilhook-bench/src/policy/workloads.rs
+++ b/crates/anvilhook-bench/src/policy/workloads.rs
@@ -1,4 +1,5 @@
-//! Generates the requests of a run and computes the bound on how many of them can be answered in time.
+//! Generates the requests of a run and computes the bound on how many of them can be answered in
+//! time.
 
 use std::sync::Arc;
 
@@ -13,7 +14,8 @@
 use super::kinds::Kind;
 use super::scenarios::Scenario;
 
-/// Requests that arrive before this time are not counted, because all caches are empty at the start.
+/// Requests that arrive before this time are not counted, because all caches are empty at the
+/// start.
 pub const WARM_UP: Millis = Millis::from_secs(30);
 
 /// Requests that arrive within this time of the run's end are not counted, because they might not
@@ -147,9 +149,10 @@
         (self.horizon - WARM_UP - TAIL).as_secs_f64()
     }
 
-    /// Returns the upper bound on the model requests that can be answered in time, which no policy can
-    /// exceed. It serves the requests with the least work first until all engines have spent the time
-    /// from the first counted arrival to the end on useful work. Withdrawn engines add no capacity.
+    /// Returns the upper bound on the model requests that can be answered in time, which no policy
+    /// can exceed. It serves the requests with the least work first until all engines have spent
+    /// the time from the first counted arrival to the end on useful work. Withdrawn engines add no
+    /// capacity.
     pub fn bound(&self) -> f64 {
         let model = self.requests.iter().filter(|r| r.counts && r.kind != Kind::Record);
         let sorted_costs = |of_flood: bool| {
--- a/crates/anvilhook-bench/src/policy/worlds/engine_changes.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/engine_changes.rs
@@ -63,7 +63,8 @@
         self.crash_pending = false;
         self.engines[engine].crash(self.now);
         self.up[engine] = false;
-        // The interrupted order leaves the engine in its previous role, and the change is abandoned.
+        // The interrupted order leaves the engine in its previous role, and the change is
+        // abandoned.
         if self.roles.changes[engine].take().is_some() {
             let role = self.instances[0].engines[engine].role();
             let _ = self.roles.order(engine, role, self.now);
--- a/crates/anvilhook-bench/src/policy/worlds/mod.rs
+++ b/crates/anvilhook-bench/src/policy/worlds/mod.rs
@@ -1,7 +1,8 @@
 //! Simulates one run: the core's decisions against the engine stand-in on a manual clock.
 //!
-//! Instances, engines and the plain service are plain values, and a fixed delay replaces the network
-//! between them. The clock moves in ticks. Timers that are due within a tick fire in order of time.
+//! Instances, engines and the plain service are plain values, and a fixed delay replaces the
+//! network between them. The clock moves in ticks. Timers that are due within a tick fire in order
+//! of time.
 
 mod engine_changes;
 mod engine_events;
--- a/crates/anvilhook-bench/src/proxy/latencies.rs
+++ b/crates/anvilhook-bench/src/proxy/latencies.rs
@@ -60,7 +60,8 @@
     let proxied = call_for(caller, callers, Target::Instance(instance.callers())).await?;
     let cpu_seconds = instance.usage()?.cpu_seconds - before.cpu_seconds;
 
-    // The instance's processor time includes the warm-up, so the calls of the warm-up are counted too.
+    // The instance's processor time includes the warm-up, so the calls of the warm-up are counted
+    // too.
     let calls = (WARM_UP + proxied.elapsed).as_secs_f64() * proxied.rps();
     Ok(LatencyRow {
         callers,
--- a/crates/anvilhook-bench/src/proxy/mod.rs
+++ b/crates/anvilhook-bench/src/proxy/mod.rs
@@ -1,8 +1,8 @@
 //! Bench of the proxy. Measures the cost of calls through an instance against direct calls in the
 //! same run.
 //!
-//! The instance and the upstream of small calls run as separate processes. The callers and all other
-//! stand-ins share the bench's process.
+//! The instance and the upstream of small calls run as separate processes. The callers and all
+//! other stand-ins share the bench's process.
 
 mod latencies;
 mod memories;
@@ -29,8 +29,8 @@
 /// The number of concurrent streams when events are counted.
 const STREAMS: usize = 64;
 
-/// The numbers of open streams from which the slope of the memory is computed. Each stream takes two
-/// file descriptors in the instance and two in the bench, and a process may open 20,000 here.
+/// The numbers of open streams from which the slope of the memory is computed. Each stream takes
+/// two file descriptors in the instance and two in the bench, and a process may open 20,000 here.
 const OPEN_STREAMS: [usize; 4] = [1_000, 3_000, 6_000, 9_000];
 
 /// The time between two events of a stream: when events are counted, and when streams are only kept
--- a/crates/anvilhook-bench/src/proxy/processes.rs
+++ b/crates/anvilhook-bench/src/proxy/processes.rs
@@ -1,4 +1,5 @@
-//! Runs the processes of the bench: the measured instance, and the upstream that direct calls go to.
+//! Runs the processes of the bench: the measured instance, and the upstream that direct calls go
+//! to.
 //!
 //! The upstream does not share the callers' process, because it would be woken by the same thread
 //! there, and a direct call would cost less than any call between two processes.
--- a/crates/anvilhook-bench/src/sites/declarations.rs
+++ b/crates/anvilhook-bench/src/sites/declarations.rs
@@ -31,7 +31,8 @@
     Ok(())
 }
 
-/// Declares resources one after the other in an empty table and returns the resulting configuration.
+/// Declares resources one after the other in an empty table and returns the resulting
+/// configuration.
 ///
 /// # Errors
 ///
--- a/crates/anvilhook-bench/src/sites/mod.rs
+++ b/crates/anvilhook-bench/src/sites/mod.rs
@@ -1,5 +1,5 @@
-//! Runs a small site on the loopback interface: stand-ins of the platform, the engines and the plain
-//! services, and the resources that declare them.
+//! Runs a small site on the loopback interface: stand-ins of the platform, the engines and the
+//! plain services, and the resources that declare them.
 
 mod declarations;
 mod resources;
--- a/crates/anvilhook-bench/tests/planned_changes.rs
+++ b/crates/anvilhook-bench/tests/planned_changes.rs
@@ -45,8 +45,8 @@
 
 /// Guards against truncated answers when a model is replaced. A new version is declared, and the
 /// engines drain, load it and return to service one after the other, while callers continue at both
-/// instances. An answer is truncated if an engine gets its order while an instance still sends it work
-/// or still waits for its answers.
+/// instances. An answer is truncated if an engine gets its order while an instance still sends it
+/// work or still waits for its answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn verify_a_new_model_version_cuts_no_request() {
     let engine = EngineOptions { model_load: Millis(300), ..EngineOptions::default().faster(10.0) };
