--- a/crates/anvilhook-bench/src/local/audits.rs
+++ b/crates/anvilhook-bench/src/local/audits.rs
@@ -1,4 +1,4 @@
-//! What became of each request, checked against what the stand-ins counted.
+//! Checks the outcome of each request against the runs that the stand-ins counted.
 
 use std::collections::{HashMap, HashSet};
 
@@ -11,32 +11,32 @@
 use super::rows::Row;
 use crate::callers::{Answer, ChatCall, Outcome, PlainCall};
 
-/// `Ended` is a request with its outcome.
+/// `CompletedRequest` is a request with its outcome.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct CompletedRequest {
     /// The request.
     pub planned: Planned,
-    /// What its caller saw.
+    /// The outcome as the caller saw it.
     pub outcome: Outcome,
 }
 
-/// `Evidence` is what the stand-ins counted.
+/// `Evidence` holds the runs that the stand-ins counted.
 #[derive(Clone, Debug)]
 pub struct Evidence {
     ledger: RunLedger,
-    /// The prompts of which an engine did any work.
+    /// The digests of the prompts on which an engine did any work.
     prompts_run: HashSet<u64>,
 }
 
 impl Evidence {
-    /// Takes the counts of all stand-ins.
+    /// Collects the counts of all stand-ins.
     pub fn new(engines: &[EngineServer], ledger: &RunLedger) -> Self {
         let attempts = engines.iter().flat_map(EngineServer::attempts);
         let run = attempts.filter(|attempt| attempt.ran()).map(|attempt| attempt.prompt);
         Self { ledger: ledger.clone(), prompts_run: run.collect() }
     }
 
-    /// Returns how often a request ran. Of a chat completion it is only known whether it did.
+    /// Returns how often a request ran. For a chat completion, returns only zero or one.
     fn runs(&self, body: &Body) -> usize {
         match body {
             Body::Chat(call) => {
@@ -47,32 +47,32 @@
     }
 }
 
-/// Puts all requests into one row for each kind.
-pub fn rows(ended: &[Ended], evidence: &Evidence) -> Vec<Row> {
+/// Counts all requests in one row for each kind.
+pub fn rows(ended: &[CompletedRequest], evidence: &Evidence) -> Vec<Row> {
     let mut rows: HashMap<Kind, Row> = HashMap::new();
-    for one in ended {
-        let kind = one.planned.kind;
+    for request in ended {
+        let kind = request.planned.kind;
         let row = rows.entry(kind).or_insert_with(|| Row::new(kind));
-        count(row, one, evidence);
+        count(row, request, evidence);
     }
     Kind::ALL.into_iter().filter_map(|kind| rows.remove(&kind)).collect()
 }
 
-fn count(row: &mut Row, one: &Ended, evidence: &Evidence) {
-    let body = &one.planned.body;
+fn count(row: &mut Row, request: &CompletedRequest, evidence: &Evidence) {
+    let body = &request.planned.body;
     let runs = evidence.runs(body);
     let is_plain = matches!(body, Body::Plain(_));
     row.sent += 1;
     if is_plain && runs > 1 {
         row.doubled += 1;
     }
-    match &one.outcome {
+    match &request.outcome {
         Outcome::Answered(answer) => {
-            row.record_answer(answer, is_in_time(one.planned.kind, answer));
+            row.record_answer(answer, is_in_time(request.planned.kind, answer));
             if !is_own(body, answer) {
                 row.crossed += 1;
             }
-            // An answer to a call that no upstream ran is a loss that nobody notices.
+            // The request is lost if no upstream ran it, although its caller received an answer.
             if runs == 0 {
                 row.lost += 1;
             }
@@ -92,7 +92,7 @@
     Millis(answer.whole.as_millis() as u64) <= kind.deadline()
 }
 
-/// Returns whether an answer is the whole answer to its own request.
+/// Returns whether an answer is complete and belongs to its request.
 fn is_own(body: &Body, answer: &Answer) -> bool {
     match body {
         Body::Chat(call) => is_own_completion(call, answer),
