--- a/crates/anvilhook-gateway/tests/plain.rs
+++ b/crates/anvilhook-gateway/tests/plain.rs
@@ -1,4 +1,4 @@
-//! Requests to plain services: verdicts, retries, and what is passed on.
+//! Tests of requests to plain services: verdicts, retries, and what is forwarded.
 
 mod support;
 
@@ -11,8 +11,8 @@
 use support::upstreams::{Step, Upstream, refusal, signed};
 use support::wires::entry;
 
-/// Starts a gateway before a first upstream with the given steps and a second that is well. The
-/// first is in the gateway's zone and so is chosen first.
+/// Starts a gateway with two upstreams: the first runs the given steps, the second is healthy. The
+/// gateway chooses the first because it is in its own zone.
 async fn front_of(repeats: Repeats, first: Vec<Step>) -> (Front, Upstream, Upstream) {
     let first = Upstream::always(first).await;
     let second = Upstream::always(vec![signed("200 OK", "second")]).await;
@@ -23,22 +23,23 @@
     (front, first, second)
 }
 
-/// Symptom: a request that runs at most once is doubled, or one that may be repeated is given up.
-/// Sequence: the first upstream fails the request in one of the ways below.
-/// Cause: the verdict on the failure, not the failure's kind, must decide on another attempt.
+/// Guards against running an at-most-once request twice, and against not retrying one that may be
+/// repeated. The verdict on the failure, not the kind of failure, must decide on another attempt.
 #[tokio::test]
 async fn verify_each_failure_is_retried_only_where_allowed() {
-    let cut = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\nContent-Length: 9\r\n\r\ncut";
+    let truncated =
+        "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\nContent-Length: 9\r\n\r\ncut";
     let foreign = "HTTP/1.1 200 OK\r\nT-Id: other\r\nT-Signature: s\r\nContent-Length: 2\r\n\r\nno";
     let unsigned = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nContent-Length: 2\r\n\r\nno";
     let encoded = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\nContent-Encoding: gzip\r\n\
                    Content-Length: 2\r\n\r\nno";
     let write = |text: &str| Step::Write(text.to_owned());
-    // What the first upstream does; the status for an idempotent request; and for the other kind.
+    // The steps of the first upstream, the status of an idempotent request, and that of an
+    // at-most-once request.
     let cases = [
         ("reset", vec![Step::Reset], 200, 502),
         ("closed", vec![Step::Close], 200, 502),
-        ("cut", vec![write(cut), Step::Close], 200, 502),
+        ("truncated", vec![write(truncated), Step::Close], 200, 502),
         ("foreign", vec![write(foreign)], 200, 502),
         ("unsigned", vec![write(unsigned)], 200, 502),
         ("encoded", vec![write(encoded)], 200, 502),
@@ -57,18 +58,17 @@
 
             assert_eq!(answer.status, expected, "{name} {repeats:?}");
             assert_eq!(first.received().len(), 1, "{name} {repeats:?}");
-            let sent_again = usize::from(expected == 200);
-            assert_eq!(second.received().len(), sent_again, "{name} {repeats:?}");
+            let retries = usize::from(expected == 200);
+            assert_eq!(second.received().len(), retries, "{name} {repeats:?}");
             assert!(answer.is_complete(), "{name} {repeats:?}: {answer:?}");
         }
     }
 }
 
-/// Symptom: an answer that is complete is taken for a cut one.
-/// Sequence: the upstream announces no length and closes the connection after the body.
-/// Cause: without a length, the end of the connection is the end of the answer.
+/// Guards against treating a complete answer as truncated: the upstream announces no length and
+/// closes the connection after the body, so the end of the connection is the end of the answer.
 #[tokio::test]
-async fn verify_an_answer_without_length_is_whole() {
+async fn verify_an_answer_without_length_is_complete() {
     let head = "HTTP/1.1 200 OK\r\nT-Id: {id}\r\nT-Signature: s\r\n\r\nall of it";
     let steps = vec![Step::Write(head.to_owned()), Step::Close];
     let (front, _first, second) = front_of(Repeats::AtMostOnce, steps).await;
@@ -80,11 +80,11 @@
     assert!(second.received().is_empty());
 }
 
-/// Symptom: a caller gets the answer to another caller's request.
-/// Sequence: an upstream answers a request twice on a kept connection, the second time late.
-/// Cause: the late answer stands where the next request's is expected; only the id tells.
+/// Guards against returning the answer to another caller's request. An upstream answers a request
+/// twice on a keep-alive connection, and the late answer arrives where the next request's answer is
+/// expected. Only the id distinguishes them.
 #[tokio::test]
-async fn verify_a_second_answer_is_never_the_next_ones() {
+async fn verify_a_duplicate_answer_is_not_used_for_the_next_request() {
     let steps = vec![signed("200 OK", "own"), signed("200 OK", "again")];
     let (front, _first, _second) = front_of(Repeats::Idempotent, steps).await;
 
@@ -96,11 +96,11 @@
     }
 }
 
-/// Symptom: requests go on to an upstream that has left, whose address another one has taken.
-/// Sequence: the address answers that it is another instance.
-/// Cause: the list lags; the upstream's own word is younger.
+/// Guards against sending requests to an upstream that has left and whose address another one now
+/// uses. The address answers that it is another instance; the instance list lags behind, so the
+/// upstream's own report is newer.
 #[tokio::test]
-async fn verify_an_address_used_again_gets_nothing_more() {
+async fn verify_an_upstream_at_a_reused_address_gets_no_more_requests() {
     let other = "HTTP/1.1 421 Misdirected\r\nT-Id: {id}\r\nT-Instance: new\r\n\
                  Content-Length: 0\r\n\r\n";
     let (front, first, second) =
@@ -113,12 +113,11 @@
     assert_eq!(first.received()[0].header("t-expect"), Some("first"));
 }
 
-/// Symptom: retries multiply an overload.
-/// Sequence: every upstream refuses, and the budget holds one extra arrival for each of the 24
-/// instances that there are taken to be before the table was read.
-/// Cause: a refused arrival is work too, so it counts.
+/// Guards against retries that multiply an overload. Every upstream refuses, and the budget holds
+/// one extra arrival for each of the 24 instances that are assumed before the table has been read.
+/// A refused arrival is work too, so it counts.
 #[tokio::test]
-async fn verify_refusals_draw_on_the_budget_and_say_when_to_come_back() {
+async fn verify_refusals_use_the_retry_budget_and_send_retry_after() {
     let refusing =
         [Upstream::always(vec![refusal()]).await, Upstream::always(vec![refusal()]).await];
     let entries =
@@ -136,15 +135,15 @@
     }
 }
 
-/// Symptom: requests go on to an upstream that fails them all, or to none though one is left.
-/// Sequence: an upstream is listed and fails whatever is sent to it, with another one or alone.
-/// Cause: after three failures it is left alone for a while; ejection never empties a service.
+/// Guards against sending all requests to a listed upstream that fails each of them, and against
+/// sending none although one upstream is left. After three failures an upstream is not used for a
+/// while; ejection never empties a service.
 #[tokio::test]
-async fn verify_an_upstream_that_lies_about_its_health_is_left_alone() {
+async fn verify_a_failing_upstream_is_ejected_unless_it_is_the_only_one() {
     const REQUESTS: usize = 20;
     let failing = Upstream::always(vec![Step::Close]).await;
-    let well = Upstream::always(vec![signed("200 OK", "second")]).await;
-    let far = Entry { zone: "zone-b".into(), ..entry("well", well.address.port()) };
+    let healthy = Upstream::always(vec![signed("200 OK", "second")]).await;
+    let far = Entry { zone: "zone-b".into(), ..entry("healthy", healthy.address.port()) };
     let entries = vec![entry("failing", failing.address.port()), far];
     let config_of = |max_attempts| unhurried(&config(Repeats::Idempotent, max_attempts, false));
     let front = start_by(ManualClock::new(), Some(config_of(2)), entries, ample_budget()).await;
@@ -153,7 +152,7 @@
         assert_eq!(answer.status, 200, "{answer:?}");
     }
     assert_eq!(failing.received().len(), 3);
-    assert_eq!(well.received().len(), REQUESTS);
+    assert_eq!(healthy.received().len(), REQUESTS);
 
     let alone = Upstream::always(vec![Step::Close]).await;
     let entries = vec![entry("alone", alone.address.port())];
@@ -161,14 +160,14 @@
     for at in 0..REQUESTS {
         assert_eq!(front.post_unhurried(&format!("r{at}"), "", "").await.status, 502);
     }
-    assert_eq!(alone.received().len(), REQUESTS, "it may be well again");
+    assert_eq!(alone.received().len(), REQUESTS, "it may have recovered");
 }
 
-/// Symptom: an upstream sees another request than the caller sent.
-/// Sequence: the caller sends headers that concern its connection, or that are the gateway's to set.
-/// Cause: the former end at the gateway; the latter would let a caller choose an engine's work.
+/// Guards against sending an upstream a different request than the caller's. Headers that concern
+/// the caller's connection end at the gateway; headers that the gateway sets must not come from a
+/// caller, who could choose an engine's work by them.
 #[tokio::test]
-async fn verify_what_is_passed_on() {
+async fn verify_which_headers_are_forwarded() {
     let (front, first, _second) = front_of(Repeats::AtMostOnce, vec![signed("200 OK", "ok")]).await;
     let headers = "T-Stage: read\r\nT-Kv-Source: 1.2.3.4:5/x\r\nKeep-Alive: timeout=9\r\n\
                    TE: trailers\r\nX-Own: kept\r\n";
@@ -189,20 +188,19 @@
     assert!(time_left <= 2_000);
 }
 
-/// Symptom: a request that nobody sent runs.
-/// Sequence: a request's length is given twice, and its body holds another request.
-/// Cause: readers that differ on the length differ on where the next request begins.
+/// Guards against request smuggling: a request gives its length twice, and its body holds another
+/// request. Parsers that disagree on the length disagree on where the next request begins.
 #[tokio::test]
-async fn verify_bad_requests_are_refused_and_nothing_in_them_runs() {
+async fn verify_bad_requests_are_refused_and_no_embedded_request_runs() {
     let inner =
         "POST /a/b HTTP/1.1\r\nHost: host.example\r\nT-Id: inner\r\nContent-Length: 0\r\n\r\n";
     let head = "POST /a/b HTTP/1.1\r\nHost: host.example\r\nT-Id: r1\r\nConnection: close\r\n";
-    let kept = head.replace("Connection: close\r\n", "");
+    let keep_alive = head.replace("Connection: close\r\n", "");
     let cases = [
         (
             "two lengths",
             format!(
-                "{kept}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{inner}"
+                "{keep_alive}Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{inner}"
             ),
             200,
         ),
@@ -238,9 +236,9 @@
     }
 }
 
-/// Symptom: a request is told "no such route" though the route is there.
-/// Sequence: it reaches an instance that has just started and knows no configuration.
-/// Cause: not knowing is no reason to deny; the caller is to come back.
+/// Guards against answering "no such route" although the route exists. An instance that has just
+/// started has no configuration yet, which is no reason to deny a request; the caller is asked to
+/// retry.
 #[tokio::test]
 async fn verify_without_a_configuration_requests_are_refused_as_not_run() {
     let front = start(None, Vec::new(), ample_budget()).await;
@@ -252,9 +250,8 @@
     assert!(!front.gateway.is_ready());
 }
 
-/// Symptom: an upstream works on for a caller that has left.
-/// Sequence: the caller closes its connection while the upstream runs the request.
-/// Cause: the gateway must close its own connection at once.
+/// Guards against an upstream that keeps working for a caller that has disconnected. The gateway
+/// must close its own connection as soon as the caller closes its.
 #[tokio::test]
 async fn verify_a_caller_that_leaves_frees_its_upstream() {
     let (front, first, _second) = front_of(Repeats::AtMostOnce, vec![Step::Hang]).await;
@@ -271,11 +268,10 @@
     assert_eq!(first.received().len(), 1);
 }
 
-/// Symptom: a request is cut by a planned stop.
-/// Sequence: a request comes in the last moment of an instance that stops.
-/// Cause: between the last look at what is in flight and the end, nothing may begin to run.
+/// Guards against truncating a request by a planned stop. Between the last check of the requests in
+/// flight and the end of the instance, no request may start.
 #[tokio::test]
-async fn verify_the_last_moment_before_the_end_refuses() {
+async fn verify_requests_are_refused_after_refuse_new() {
     let (front, first, second) = front_of(Repeats::AtMostOnce, vec![signed("200 OK", "ok")]).await;
     front.gateway.begin_stop(Stop { noticed_at: Millis::MAX, ends_at: Millis::MAX });
     let before = front.post("r1", "", "").await;
@@ -290,11 +286,11 @@
     assert!(!front.gateway.is_ready());
 }
 
-/// Symptom: a request goes to an upstream that has begun to leave.
-/// Sequence: the first attempt takes a while; meanwhile the other upstream's entry says draining.
-/// Cause: what was believed before a wait must not be used after it.
+/// Guards against sending a request to an upstream that has begun to leave. While the first attempt
+/// runs, the other upstream's entry changes to draining; state read before a wait must not be used
+/// after it.
 #[tokio::test]
-async fn verify_a_retry_looks_at_the_upstreams_anew() {
+async fn verify_a_retry_checks_the_upstreams_again() {
     let (front, first, second) = front_of(Repeats::Idempotent, vec![Step::Hang]).await;
     let mut leaving = entry("second", second.address.port());
     leaving.draining = true;
--- a/crates/anvilhook-gateway/tests/request_bytes.rs
+++ b/crates/anvilhook-gateway/tests/request_bytes.rs
@@ -1,8 +1,8 @@
-//! Requests as bytes on a real socket, that no sound caller sends.
+//! Tests of malformed requests, sent as raw bytes on a real socket.
 //!
-//! Whatever comes, the caller gets whole answers or its connection is closed; an upstream gets only
-//! requests that stand in the bytes whole; and the next caller is served as before. What was found once
-//! is a case of its own below.
+//! Whatever the bytes, the caller gets complete answers or its connection is closed, an upstream
+//! gets only requests that are complete in the bytes, and the next caller is served as before. Each
+//! fault that was found has a test of its own.
 
 mod support;
 
@@ -22,32 +22,33 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// The seeds of the mutations, and how many mutated requests are sent with each.
+/// The number of mutation seeds.
 const SEEDS: u64 = 12;
-const TRIES: usize = 100;
+/// The number of mutated requests that are sent with each seed.
+const REQUESTS_PER_SEED: usize = 100;
 
-/// The mark of the one caller whose bytes are spoilt. Whatever reaches an upstream otherwise was sent on
-/// by nobody's wish.
+/// The body of the one caller whose bytes are mutated. Any other request that reaches an upstream
+/// was not sent by a caller.
 const OWN_BODY: &str = "own-body";
 
-/// Longer than any answer takes here. It only ends a test that would wait for ever.
-const LONGEST: Duration = Duration::from_secs(20);
+/// Longer than any answer takes here. It only ends a test that would otherwise wait forever.
+const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a front that has not answered bytes without an end gets before the caller leaves. No check
-/// rests on its length: a front that needs longer is only given less to do wrong.
-const QUIET: Duration = Duration::from_millis(150);
+/// How long the caller waits for an answer to a request that may be incomplete before it leaves. No
+/// check depends on this length: a slower front only has less opportunity to fail.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// `Came` is what came back to a caller.
+/// `Reply` holds the bytes that a caller received.
 #[derive(Debug, Default)]
-struct Came {
+struct Reply {
     bytes: Vec<u8>,
-    /// The statuses of whole answers.
+    /// The statuses of complete answers.
     statuses: Vec<u16>,
-    /// Whether the last answer is cut, or bytes are left that belong to none.
-    is_cut: bool,
+    /// Whether the last answer is truncated, or bytes remain that belong to no answer.
+    is_truncated: bool,
 }
 
-impl Came {
+impl Reply {
     fn text(&self) -> String {
         String::from_utf8_lossy(&self.bytes).into_owned()
     }
@@ -60,11 +61,11 @@
             self.statuses.push(status);
             rest = &rest[length..];
         }
-        self.is_cut = !rest.is_empty();
+        self.is_truncated = !rest.is_empty();
     }
 }
 
-/// Returns the status and the length of the first answer, if it is whole.
+/// Returns the status and the length of the first answer, if it is complete.
 fn first_answer(bytes: &[u8]) -> Option<(u16, usize)> {
     let head_end = bytes.windows(4).position(|window| window == b"\r\n\r\n")? + 4;
     let head = String::from_utf8_lossy(&bytes[..head_end]).to_lowercase();
@@ -81,29 +82,31 @@
     (bytes.len() >= length).then_some((status, length))
 }
 
-/// Sends bytes, and returns what came back until so many answers are whole or the connection is closed.
-async fn answers(front: &Front, bytes: &[u8], count: usize) -> Came {
+/// Sends bytes and returns what was received once `count` answers are complete or the connection is
+/// closed.
+async fn answers(front: &Front, bytes: &[u8], count: usize) -> Reply {
     let mut stream = TcpStream::connect(front.address).await.expect("the front listens");
-    let mut came = Came::default();
-    let reading = async {
-        // A front that has refused already may have closed its end.
+    let mut reply = Reply::default();
+    let receiving = async {
+        // A front that has already refused the request may have closed its end.
         let _ = stream.write_all(bytes).await;
         let mut buf = [0; 4_096];
-        while came.statuses.len() < count {
+        while reply.statuses.len() < count {
             match stream.read(&mut buf).await {
-                Ok(length) if length > 0 => came.push(&buf[..length]),
+                Ok(length) if length > 0 => reply.push(&buf[..length]),
                 _ => break,
             }
         }
     };
-    tokio::time::timeout(LONGEST, reading).await.expect("an answer, or a closed connection");
-    came
+    tokio::time::timeout(TEST_TIMEOUT, receiving).await.expect("an answer, or a closed connection");
+    reply
 }
 
-/// Sends bytes that may have no end, and returns all that came back. The caller leaves when nothing comes.
-async fn exchange(address: SocketAddr, pieces: &[&[u8]]) -> Came {
+/// Sends bytes that may be an incomplete request and returns everything received. The caller leaves
+/// when it receives nothing for a while.
+async fn exchange(address: SocketAddr, pieces: &[&[u8]]) -> Reply {
     let mut stream = TcpStream::connect(address).await.expect("the front listens");
-    let mut came = Came::default();
+    let mut reply = Reply::default();
     for piece in pieces {
         if stream.write_all(piece).await.is_err() {
             break;
@@ -113,12 +116,16 @@
     let mut buf = [0; 4_096];
     let mut has_left = false;
     loop {
-        let wait = if has_left { LONGEST } else { QUIET };
+        let wait = if has_left { TEST_TIMEOUT } else { IDLE_TIMEOUT };
         match tokio::time::timeout(wait, stream.read(&mut buf)).await {
-            Ok(Ok(length)) if length > 0 => came.push(&buf[..length]),
-            Ok(_) => return came,
+            Ok(Ok(length)) if length > 0 => reply.push(&buf[..length]),
+            Ok(_) => return reply,
             Err(_elapsed) => {
-                assert!(!has_left, "the connection of a caller that left stays: {}", came.text());
+                assert!(
+                    !has_left,
+                    "the connection stays open after its caller left: {}",
+                    reply.text()
+                );
                 has_left = true;
                 let _ = stream.shutdown().await;
             }
@@ -130,7 +137,7 @@
     Upstream::always(vec![signed("200 OK", "the whole answer")]).await
 }
 
-/// Starts a front before a plain upstream.
+/// Starts a front with one plain upstream.
 async fn plain_front(upstream: &Upstream) -> Front {
     let config = config(Repeats::AtMostOnce, 1, false);
     start(Some(config), vec![entry("a", upstream.address.port())], ample_budget()).await
@@ -141,21 +148,22 @@
     assert_eq!((answer.status, answer.body.as_str()), (200, "the whole answer"));
 }
 
-/// Fails unless bytes were refused: one answer that says so at most, and a closed connection.
-fn verify_refused(case: &str, came: &Came) {
+/// Fails unless the bytes were refused: at most one answer, which is a refusal, and a closed
+/// connection.
+fn verify_refused(case: &str, reply: &Reply) {
     let is_refusal = |status: &u16| (400..500).contains(status);
-    assert!(came.statuses.iter().all(is_refusal), "{case}: {:?}", came.text());
-    assert!(came.statuses.len() <= 1 && !came.is_cut, "{case}: {:?}", came.text());
+    assert!(reply.statuses.iter().all(is_refusal), "{case}: {:?}", reply.text());
+    assert!(reply.statuses.len() <= 1 && !reply.is_truncated, "{case}: {:?}", reply.text());
 }
 
-/// Returns what reached the upstream from the caller whose bytes are spoilt.
-fn sent_on(upstream: &Upstream) -> Vec<Received> {
+/// Returns what reached the upstream from the caller whose bytes are mutated.
+fn forwarded(upstream: &Upstream) -> Vec<Received> {
     let received = upstream.received().into_iter();
     received.filter(|received| received.body != "next-body").collect()
 }
 
-/// Parts of requests that mutations put anywhere.
-const PIECES: [&str; 16] = [
+/// Parts of requests that mutations insert anywhere.
+const FRAGMENTS: [&str; 16] = [
     "\r\n",
     "\r\n\r\n",
     "\n",
@@ -174,7 +182,7 @@
     "5\r\nabcde\r\n0\r\n\r\n",
 ];
 
-/// What is put in the place of a number.
+/// Replacements for a number.
 const NUMBERS: [&str; 8] =
     ["0", "-1", "+8", "0x8", "18446744073709551615", "4294967295", "08", "8, 8"];
 
@@ -190,18 +198,18 @@
                 let part = bytes[at..end].to_vec();
                 bytes.splice(at..at, part);
             }
-            3 => put_number(rng, &mut bytes, at),
+            3 => replace_number(rng, &mut bytes, at),
             _ => {
-                let piece = PIECES[rng.random_range(0..PIECES.len())];
-                bytes.splice(at..at, piece.bytes());
+                let fragment = FRAGMENTS[rng.random_range(0..FRAGMENTS.len())];
+                bytes.splice(at..at, fragment.bytes());
             }
         }
     }
     bytes
 }
 
-/// Puts an extreme number in the place of the next one.
-fn put_number(rng: &mut ChaCha8Rng, bytes: &mut Vec<u8>, from: usize) {
+/// Replaces the next number with an extreme one.
+fn replace_number(rng: &mut ChaCha8Rng, bytes: &mut Vec<u8>, from: usize) {
     let Some(start) = (from..bytes.len()).find(|at| bytes[*at].is_ascii_digit()) else { return };
     let length = bytes[start..].iter().take_while(|byte| byte.is_ascii_digit()).count();
     let number = NUMBERS[rng.random_range(0..NUMBERS.len())];
@@ -218,39 +226,44 @@
         .to_owned()
 }
 
-/// Symptom: a caller waits for ever, gets half an answer or another one's, or an instance serves nobody
-/// any more.
-/// Sequence: requests are cut, doubled, spoilt and put into one another, and come in pieces.
-/// Cause: where a request begins and ends must be known for certain, or its connection be closed.
+/// Guards against a caller that waits forever or gets a partial or foreign answer, and against an
+/// instance that stops serving. Requests are truncated, duplicated, corrupted and spliced into one
+/// another, and arrive in pieces. If a front can't tell where a request begins and ends, it must
+/// close the connection.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn verify_no_bytes_harm_a_front() {
+async fn verify_mutated_requests_do_not_harm_a_front() {
     let upstream = upstream().await;
     let front = plain_front(&upstream).await;
     let (mut answered, mut refused, mut written) = (0, 0, 0);
     for seed in 0..SEEDS {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        let callers = (0..TRIES).map(|number| {
+        let callers = (0..REQUESTS_PER_SEED).map(|number| {
             let message = if number % 2 == 0 { with_length() } else { with_chunks() };
             let bytes = mutated(&mut rng, &message);
             written += bytes.windows(7).filter(|window| window == b"HTTP/1.").count();
-            let cut = rng.random_range(0..bytes.len() + 1);
+            let split = rng.random_range(0..bytes.len() + 1);
             let address = front.address;
-            tokio::spawn(async move { exchange(address, &[&bytes[..cut], &bytes[cut..]]).await })
+            tokio::spawn(
+                async move { exchange(address, &[&bytes[..split], &bytes[split..]]).await },
+            )
         });
         for caller in callers.collect::<Vec<_>>() {
-            let came = caller.await.expect("no panic");
-            assert!(!came.is_cut, "seed {seed}: {:?}", came.text());
-            let is_sound = |status: &u16| matches!(status, 100 | 200 | 400..500 | 503 | 504);
-            assert!(came.statuses.iter().all(is_sound), "seed {seed}: {:?}", came.text());
-            answered += usize::from(came.statuses.contains(&200));
-            refused += usize::from(!came.statuses.contains(&200));
+            let reply = caller.await.expect("no panic");
+            assert!(!reply.is_truncated, "seed {seed}: {:?}", reply.text());
+            let is_allowed = |status: &u16| matches!(status, 100 | 200 | 400..500 | 503 | 504);
+            assert!(reply.statuses.iter().all(is_allowed), "seed {seed}: {:?}", reply.text());
+            answered += usize::from(reply.statuses.contains(&200));
+            refused += usize::from(!reply.statuses.contains(&200));
         }
         verify_next_caller_is_served(&front).await;
     }
-    assert!(answered > TRIES / 2 && refused > TRIES / 2, "{answered} answered, {refused} refused");
+    assert!(
+        answered > REQUESTS_PER_SEED / 2 && refused > REQUESTS_PER_SEED / 2,
+        "{answered} answered, {refused} refused"
+    );
     until(|| front.gateway.in_flight() == 0).await;
-    assert!(sent_on(&upstream).len() <= written, "more requests than were written");
-    for received in sent_on(&upstream) {
+    assert!(forwarded(&upstream).len() <= written, "more requests than were written");
+    for received in forwarded(&upstream) {
         let lengths = received.headers.iter().filter(|line| line.starts_with("content-length: "));
         assert!(lengths.count() <= 1, "{received:?}");
         let hosts = received.headers.iter().filter(|line| line.starts_with("host: "));
@@ -260,11 +273,11 @@
     }
 }
 
-/// Symptom: an upstream gets a request that no caller sent, or a part of one as another.
-/// Sequence: the lengths of a body contradict one another, or are no lengths.
-/// Cause: whoever reads two lengths must not choose one that another reader would not.
+/// Guards against forwarding a request that no caller sent, or a part of one as another. The
+/// lengths of a body contradict one another or are invalid; a parser must not choose one that
+/// another parser would not choose.
 #[tokio::test]
-async fn verify_bodies_of_doubtful_length_are_refused() {
+async fn verify_bodies_of_ambiguous_length_are_refused() {
     let hidden =
         "POST /a/hidden HTTP/1.1\r\nHost: host.example\r\nT-Id: h\r\nContent-Length: 0\r\n\r\n";
     let cases = [
@@ -287,20 +300,19 @@
         let head = "POST /a/b HTTP/1.1\r\nHost: host.example\r\nT-Id: own\r\n";
         let bytes = format!("{head}{case}\r\n{OWN_BODY}{hidden}");
 
-        let came = exchange(front.address, &[bytes.as_bytes()]).await;
+        let reply = exchange(front.address, &[bytes.as_bytes()]).await;
 
-        verify_refused(case, &came);
-        assert!(sent_on(&upstream).is_empty(), "{case}: {:?}", sent_on(&upstream));
+        verify_refused(case, &reply);
+        assert!(forwarded(&upstream).is_empty(), "{case}: {:?}", forwarded(&upstream));
         verify_next_caller_is_served(&front).await;
     }
 }
 
-/// Symptom: an upstream gets a request whose body the caller has not sent whole, or gets it with bytes of
-/// the next one.
-/// Sequence: the sizes of chunks are spoilt, or the body ends early.
-/// Cause: a body is known to be whole only by its own end.
+/// Guards against forwarding a request whose body is incomplete or contains bytes of the next
+/// request. Chunk sizes are corrupted, or the body ends early; only its terminator shows that a
+/// body is complete.
 #[tokio::test]
-async fn verify_broken_bodies_are_sent_to_nobody() {
+async fn verify_broken_bodies_are_not_forwarded() {
     let extended = format!("8;{}\r\n{OWN_BODY}\r\n0\r\n\r\n", "x".repeat(40_000));
     let cases = [
         "8\r\nown-b",
@@ -322,18 +334,17 @@
         let head = "POST /a/b HTTP/1.1\r\nHost: host.example\r\nT-Id: own\r\n";
         let bytes = format!("{head}Transfer-Encoding: chunked\r\n\r\n{case}");
 
-        let came = exchange(front.address, &[bytes.as_bytes()]).await;
+        let reply = exchange(front.address, &[bytes.as_bytes()]).await;
 
         let short = &case[..case.len().min(40)];
-        verify_refused(short, &came);
-        assert!(sent_on(&upstream).is_empty(), "{short}: {:?}", sent_on(&upstream));
+        verify_refused(short, &reply);
+        assert!(forwarded(&upstream).is_empty(), "{short}: {:?}", forwarded(&upstream));
         verify_next_caller_is_served(&front).await;
     }
 }
 
-/// Symptom: a request is sent to the service of one host and is there taken for another's.
-/// Sequence: it names two hosts, in two header lines or in its target.
-/// Cause: the first host was routed by, and both were passed on.
+/// Guards against a request that is routed to the service of one host and handled there as another
+/// host's. The request names two hosts; the gateway used to route by the first and forward both.
 #[tokio::test]
 async fn verify_requests_with_two_hosts_are_refused() {
     let upstream = upstream().await;
@@ -344,17 +355,16 @@
     ] {
         let bytes = format!("GET /a/b HTTP/1.1\r\n{hosts}T-Id: own\r\n\r\n");
 
-        let came = answers(&front, bytes.as_bytes(), 1).await;
+        let reply = answers(&front, bytes.as_bytes(), 1).await;
 
-        assert_eq!(came.statuses, [400], "{hosts}");
-        assert!(sent_on(&upstream).is_empty(), "{hosts}");
+        assert_eq!(reply.statuses, [400], "{hosts}");
+        assert!(forwarded(&upstream).is_empty(), "{hosts}");
     }
     verify_next_caller_is_served(&front).await;
 }
 
-/// Symptom: an instance spends memory without end on one connection.
-/// Sequence: a caller sends header lines, or one line, for ever.
-/// Cause: a head is read into memory before anything else is known of the request.
+/// Guards against unbounded memory use by one connection. A caller sends header lines, or one line,
+/// without end, and the head is read into memory before anything else is known of the request.
 #[tokio::test]
 async fn verify_floods_of_headers_are_refused() {
     let many = "x-a: b\r\n".repeat(200_000);
@@ -368,41 +378,40 @@
         let bytes =
             format!("GET /a/{target} HTTP/1.1\r\nHost: host.example\r\nT-Id: own\r\n{headers}\r\n");
 
-        let came = answers(&front, bytes.as_bytes(), 1).await;
+        let reply = answers(&front, bytes.as_bytes(), 1).await;
 
-        // The front may close while the caller still sends, and the answer is lost with it.
-        verify_refused(name, &came);
-        assert!(sent_on(&upstream).is_empty(), "{name}");
+        // The front may close while the caller still sends, in which case the answer is lost.
+        verify_refused(name, &reply);
+        assert!(forwarded(&upstream).is_empty(), "{name}");
         verify_next_caller_is_served(&front).await;
     }
 }
 
-/// Symptom: requests of a caller on one connection are mixed, or one is answered twice.
-/// Sequence: it sends several at once, without waiting for the answers, the last one cut.
-/// Cause: each request ends where its own length says.
+/// Guards against mixing up the requests of one connection, or answering one twice. The caller
+/// sends several at once without waiting for the answers, the last one truncated. Each request ends
+/// where its own length says.
 #[tokio::test]
-async fn verify_requests_behind_one_another_are_answered_in_order() {
+async fn verify_pipelined_requests_are_answered_in_order() {
     let upstream = Upstream::start(|received| vec![signed("200 OK", &received.body)]).await;
     let front = plain_front(&upstream).await;
     let one = |id: &str, body: &str| request(id, "", body).replace("Connection: close\r\n", "");
-    let whole = [one("x1", "first"), one("x2", ""), one("x3", "third")].concat();
-    let cut = one("x4", "never whole");
-    let bytes = format!("{whole}{}", &cut[..cut.len() - 3]);
+    let complete = [one("x1", "first"), one("x2", ""), one("x3", "third")].concat();
+    let truncated = one("x4", "never whole");
+    let bytes = format!("{complete}{}", &truncated[..truncated.len() - 3]);
 
-    let came = answers(&front, bytes.as_bytes(), 3).await;
+    let reply = answers(&front, bytes.as_bytes(), 3).await;
 
-    let text = came.text().to_lowercase();
+    let text = reply.text().to_lowercase();
     let ids = text.lines().filter_map(|line| line.strip_prefix("t-id: "));
     assert_eq!(ids.collect::<Vec<_>>(), ["x1", "x2", "x3"], "{text}");
     let bodies: Vec<_> = upstream.received().into_iter().map(|received| received.body).collect();
     assert_eq!(bodies, ["first", "", "third"]);
 }
 
-/// Symptom: an instance ends a request with a panic, or predicts endless work of it.
-/// Sequence: a caller names ids, deadlines, counts of tokens and events at their ends.
-/// Cause: sums of what callers name must not overflow.
+/// Guards against a panic, or a prediction of endless work, when a caller sends extreme ids,
+/// deadlines, token counts or event ids. Sums of such numbers must not overflow.
 #[tokio::test]
-async fn verify_figures_of_prompts_at_their_ends_are_served() {
+async fn verify_extreme_numbers_in_headers_are_served() {
     let stream = vec![stream_head(), event(1), event(2), stream_end()];
     let upstream = Upstream::always(stream).await;
     let engine = Entry { role: Some(Role::Mixed), ..entry("a", upstream.address.port()) };
@@ -419,7 +428,7 @@
         for header in headers {
             let answer = front.post("own", &header, "p").await;
 
-            // A prompt that no engine could read in time is refused.
+            // A prompt that no engine could prefill in time is refused.
             assert!(matches!(answer.status, 200 | 503), "{header}: {answer:?}");
             assert!(answer.is_complete(), "{header}: {answer:?}");
         }
@@ -435,11 +444,10 @@
     }
 }
 
-/// Symptom: an instance ends a request with a panic.
-/// Sequence: the request's target is of a rare form, and a route takes all paths of its host.
-/// Cause: a target without a path was put together again as one that is none.
+/// Guards against a panic on a rare form of request target when a route accepts all paths of its
+/// host. A target without a path used to be rebuilt as an invalid one.
 #[tokio::test]
-async fn verify_targets_of_rare_forms_are_answered() {
+async fn verify_rare_request_targets_are_answered() {
     let upstream = upstream().await;
     let everything = Route { prefix: Arc::from("/"), ..route(Repeats::Idempotent, 1) };
     let services = config(Repeats::Idempotent, 1, false).services().cloned().collect();
@@ -467,20 +475,19 @@
             let head = format!("{method} {target} HTTP/1.1\r\nHost: host.example\r\nT-Id: own\r\n");
             let bytes = format!("{head}Connection: close\r\n\r\n");
 
-            let came = answers(&front, bytes.as_bytes(), 1).await;
+            let reply = answers(&front, bytes.as_bytes(), 1).await;
 
-            let text = came.text();
+            let text = reply.text();
             assert!(text.starts_with("HTTP/1.1 "), "{method} {target}: {text:?}");
         }
     }
     verify_next_caller_is_served(&front).await;
 }
 
-/// Symptom: a request is served for another host than the one in its target.
-/// Sequence: the target is a whole URI, and the header names another host.
-/// Cause: only the header was looked at.
+/// Guards against serving a request for another host than the one in its target. The target is an
+/// absolute URI and the header names another host; only the header used to be checked.
 #[tokio::test]
-async fn verify_the_host_of_a_target_goes_before_the_header() {
+async fn verify_the_host_of_a_target_overrides_the_header() {
     let upstream = upstream().await;
     let front = plain_front(&upstream).await;
     let cases = [
@@ -492,9 +499,9 @@
     for (target, host, expected) in cases {
         let bytes = format!("GET {target} HTTP/1.1\r\nHost: {host}\r\nT-Id: own\r\n\r\n");
 
-        let came = answers(&front, bytes.as_bytes(), 1).await;
+        let reply = answers(&front, bytes.as_bytes(), 1).await;
 
-        assert_eq!(came.statuses, [expected], "{target}");
+        assert_eq!(reply.statuses, [expected], "{target}");
     }
     for received in upstream.received() {
         assert_eq!(received.header("host"), Some("host.example"), "{received:?}");
@@ -502,10 +509,9 @@
     }
 }
 
-/// Symptom: a caller's connection is closed without an answer, and an upstream gets a request for a
-/// tunnel.
-/// Sequence: the caller asks for a tunnel, with a target that a route takes.
-/// Cause: its method was passed on like any other, and what follows its answer is no answer.
+/// Guards against forwarding a request for a tunnel, after which the caller's connection is closed
+/// without an answer. The method used to be forwarded like any other, but the bytes after its
+/// answer are not HTTP.
 #[tokio::test]
 async fn verify_tunnels_are_refused() {
     let upstream = upstream().await;
@@ -513,17 +519,22 @@
     for target in ["/a/b", "host.example:80", "http://host.example/a/b"] {
         let bytes = format!("CONNECT {target} HTTP/1.1\r\nHost: host.example\r\nT-Id: own\r\n\r\n");
 
-        let came = answers(&front, bytes.as_bytes(), 1).await;
+        let reply = answers(&front, bytes.as_bytes(), 1).await;
 
-        assert_eq!(came.statuses, [405], "{target}: {:?} {:?}", came.text(), sent_on(&upstream));
-        assert!(sent_on(&upstream).is_empty(), "{target}");
+        assert_eq!(
+            reply.statuses,
+            [405],
+            "{target}: {:?} {:?}",
+            reply.text(),
+            forwarded(&upstream)
+        );
+        assert!(forwarded(&upstream).is_empty(), "{target}");
     }
     verify_next_caller_is_served(&front).await;
 }
 
-/// Symptom: a caller that sends a byte now and then holds an instance's memory and its place.
-/// Sequence: a body comes slower than any sound caller's.
-/// Cause: the whole body has a time, not each part of it.
+/// Guards against a caller that sends one byte periodically and so occupies an instance's memory
+/// and a request slot. The time limit covers the whole body, not each part of it.
 #[tokio::test(start_paused = true)]
 async fn verify_slow_bodies_are_refused() {
     let upstream = Upstream::always(vec![Step::Hang]).await;
@@ -533,7 +544,7 @@
         "POST /a/b HTTP/1.1\r\nHost: host.example\r\nT-Id: own\r\nContent-Length: 4000\r\n\r\n";
     stream.write_all(head.as_bytes()).await.expect("the front reads");
     let (mut reader, mut writer) = stream.into_split();
-    let dripping = tokio::spawn(async move {
+    let slow_writer = tokio::spawn(async move {
         while writer.write_all(b"b").await.is_ok() {
             tokio::time::sleep(Duration::from_millis(500)).await;
         }
@@ -545,5 +556,5 @@
     let text = String::from_utf8_lossy(&buf[..length]);
     assert!(text.starts_with("HTTP/1.1 408 "), "{text:?}");
     assert!(upstream.received().is_empty());
-    dripping.abort();
+    slow_writer.abort();
 }
--- a/crates/anvilhook-gateway/tests/roles.rs
+++ b/crates/anvilhook-gateway/tests/roles.rs
@@ -1,4 +1,5 @@
-//! Orders under the lease: one holder at a time, and nothing after its lapse.
+//! Tests of role orders under the lease: one holder at a time, and no order after the lease has
+//! expired.
 
 mod support;
 
@@ -23,7 +24,7 @@
     entries: Vec<Entry>,
 }
 
-/// Starts engines that all generate, and answer an order with `status`.
+/// Starts engines that all have the decode role and answer an order with `status`.
 async fn engines(count: usize, status: &'static str) -> Engines {
     engines_of(Role::Decode, count, status).await
 }
@@ -56,7 +57,7 @@
     }
 }
 
-/// `Site` is a gateway before the engines and the table, on one clock.
+/// `Site` is a gateway with its engines and its table, all on one clock.
 struct Site {
     gateway: Gateway<TestWire, ManualClock>,
     table: MemoryTable,
@@ -71,7 +72,7 @@
 }
 
 impl Site {
-    fn keeper(&self, holder: &str) -> RoleController<TestWire, MemoryTable, ManualClock> {
+    fn controller(&self, holder: &str) -> RoleController<TestWire, MemoryTable, ManualClock> {
         let options =
             RoleOptions { prefill_share: 0.5, patience: Millis::ZERO, lease: Millis(3_000) };
         let (gateway, table) = (self.gateway.clone(), self.table.clone());
@@ -80,82 +81,84 @@
     }
 }
 
-/// Symptom: engines that generate are idle while prompts wait.
-/// Sequence: four engines start, all generating; half of them are to read.
-/// Cause: the split is kept by orders, each with the lease's version and the orders seen.
+/// Guards against idle decode engines while prompts wait. Four engines start in the decode role,
+/// and half of them should prefill. The controller keeps the split by orders. Each carries the
+/// lease's version and the number of orders that the engine has seen.
 #[tokio::test]
 async fn verify_the_split_is_ordered_once() {
     let engines = engines(4, "200 OK").await;
     let site = site(&engines);
-    let mut keeper = site.keeper("one");
+    let mut controller = site.controller("one");
 
-    keeper.reconcile().await;
-    keeper.reconcile().await;
+    controller.reconcile().await;
+    controller.reconcile().await;
 
     assert_eq!(engines.orders(), ["Prefill 1 Some(4)", "Prefill 1 Some(4)"]);
     assert_eq!(site.table.value("anvilhook_leases", "roles").as_deref(), Some("one"));
 }
 
-/// Symptom: output waits for the few engines that generate, while readers are idle.
-/// Sequence: engines that generated have left; all that stay are readers.
-/// Cause: the split is kept in both directions.
+/// Guards against output that waits for a few decode engines while prefill engines are idle. The
+/// decode engines have left and only prefill engines remain; the controller keeps the split in both
+/// directions.
 #[tokio::test]
-async fn verify_readers_are_made_generators() {
+async fn verify_prefill_engines_are_ordered_to_decode() {
     let engines = engines_of(Role::Prefill, 4, "200 OK").await;
     let site = site(&engines);
 
-    site.keeper("one").reconcile().await;
+    site.controller("one").reconcile().await;
 
     assert_eq!(engines.orders(), ["Decode 1 Some(4)", "Decode 1 Some(4)"]);
 }
 
-/// Symptom: an engine that has changed its role stands idle for two seconds, or until the table is back.
-/// Sequence: it takes an order, and is done before the list shows it.
-/// Cause: whoever gave the order asks the engine itself, and believes its report.
+/// Guards against an engine that stays idle after a role change for two seconds, or until the table
+/// is reachable again. The engine completes the order before the instance list shows it, so the
+/// instance that gave the order polls the engine itself and uses its report.
 #[tokio::test]
 async fn verify_an_engine_is_used_as_soon_as_it_has_its_new_role() {
     let has_order = Arc::new(AtomicBool::new(false));
-    let turning = Arc::clone(&has_order);
-    let turned = Upstream::start(move |received| {
+    let order_seen = Arc::clone(&has_order);
+    let changing = Upstream::start(move |received| {
         if received.line.starts_with("POST /order") {
-            turning.store(true, Ordering::SeqCst);
+            order_seen.store(true, Ordering::SeqCst);
             return vec![signed("200 OK", "")];
         }
-        let has_turned = turning.load(Ordering::SeqCst);
-        vec![signed("200 OK", if has_turned { "prefill" } else { "decode" })]
+        let has_changed = order_seen.load(Ordering::SeqCst);
+        vec![signed("200 OK", if has_changed { "prefill" } else { "decode" })]
     })
     .await;
     let mut engines = engines(2, "200 OK").await;
-    engines.entries[1] = Entry { role: Some(Role::Decode), ..entry("e1", turned.address.port()) };
+    engines.entries[1] = Entry { role: Some(Role::Decode), ..entry("e1", changing.address.port()) };
     let site = site(&engines);
-    let mut keeper = site.keeper("one");
+    let mut controller = site.controller("one");
 
-    keeper.reconcile().await;
+    controller.reconcile().await;
 
-    assert!(has_order.load(Ordering::SeqCst), "it is the one that is ordered");
+    assert!(has_order.load(Ordering::SeqCst), "this engine gets the order");
     let engine = || Arc::clone(site.gateway.fleet().view().get("e1").expect("listed"));
-    assert!(!engine().takes_work(site.clock.now()), "it may still change");
-    let shown = async {
+    assert!(!engine().takes_work(site.clock.now()), "it may still be changing its role");
+    let role_reported = async {
         while engine().role() != Some(Role::Prefill) {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
         }
     };
-    tokio::time::timeout(std::time::Duration::from_secs(10), shown).await.expect("it is asked");
+    tokio::time::timeout(std::time::Duration::from_secs(10), role_reported)
+        .await
+        .expect("the engine is polled");
     assert!(engine().takes_work(site.clock.now()));
 }
 
-/// Symptom: five hundred prompts are refused and the retry budget is spent when the split is moved.
-/// Sequence: engines with prompts in their queues are ordered to generate; they refuse all that has not
-/// begun, and go on getting prompts of instances that have not heard of the order.
-/// Cause: an engine gets no work from a while before its order on.
+/// Guards against five hundred refused prompts and an exhausted retry budget when the split moves.
+/// Engines with queued prompts are ordered to decode; they refuse everything that has not started,
+/// and instances that have not received the order keep sending them prompts. So an engine gets no
+/// work from a moment before its order.
 #[tokio::test]
-async fn verify_an_engine_gets_no_work_from_before_its_order_on() {
+async fn verify_an_engine_gets_no_work_from_just_before_its_order() {
     let gateway: Arc<OnceLock<Gateway<TestWire, ManualClock>>> = Arc::default();
     let took_work = Arc::new(Mutex::new(Vec::new()));
-    let (asked, seen) = (Arc::clone(&gateway), Arc::clone(&took_work));
+    let (shared, seen) = (Arc::clone(&gateway), Arc::clone(&took_work));
     let ordered = Upstream::start(move |received| {
         if received.line.starts_with("POST /order") {
-            let gateway = asked.get().expect("it was set");
+            let gateway = shared.get().expect("it was set");
             let takes_work = gateway.fleet().takes_work("e1", Millis::ZERO);
             seen.lock().expect("no panic").push(takes_work);
         }
@@ -168,54 +171,52 @@
     gateway.set(site.gateway.clone()).ok().expect("it is set once");
     assert!(site.gateway.fleet().takes_work("e1", Millis::ZERO));
 
-    site.keeper("one").reconcile().await;
+    site.controller("one").reconcile().await;
 
     assert_eq!(*took_work.lock().expect("no panic"), [false]);
 }
 
-/// Symptom: engines change their roles for others that are only restarting.
-/// Sequence: the split is uneven for a moment, twice.
-/// Cause: an order is given only after the split has been uneven for long enough.
+/// Guards against role changes that replace engines which are only restarting. The split is uneven
+/// twice for a moment; an order is given only after it has been uneven for long enough.
 #[tokio::test]
-async fn verify_a_moment_of_unevenness_is_no_reason() {
+async fn verify_a_brief_imbalance_causes_no_order() {
     let engines = engines(2, "200 OK").await;
     let site = site(&engines);
-    let mut keeper = site.keeper("one");
-    keeper.set_patience(Millis(1_000));
+    let mut controller = site.controller("one");
+    controller.set_patience(Millis(1_000));
     let mut even = engines.entries.clone();
     even[0].role = Some(Role::Prefill);
 
     for _ in 0..2 {
-        keeper.reconcile().await;
+        controller.reconcile().await;
         site.clock.advance(Millis(900));
         site.gateway.adopt_entries(even.clone());
-        keeper.reconcile().await;
+        controller.reconcile().await;
         site.clock.advance(Millis(900));
         site.gateway.adopt_entries(engines.entries.clone());
     }
     assert!(engines.orders().is_empty());
 
-    keeper.reconcile().await;
+    controller.reconcile().await;
     site.clock.advance(Millis(1_000));
-    keeper.reconcile().await;
+    controller.reconcile().await;
     assert_eq!(engines.orders().len(), 1);
 }
 
-/// Symptom: an engine gets orders of two holders.
-/// Sequence: two instances each think that they are to act, the second within the first's lease.
-/// Cause: only the lapse of the lease, seen by the second's own clock, lets it take it.
+/// Guards against orders from two holders. Two instances both try to act, the second within the
+/// first's lease; it may take the lease only once the lease has expired by its own clock.
 #[tokio::test]
-async fn verify_a_second_holder_waits_for_the_lapse() {
+async fn verify_a_second_holder_waits_for_the_lease_to_expire() {
     let engines = engines(4, "409 Busy").await;
     let site = site(&engines);
-    let (mut one, mut two) = (site.keeper("one"), site.keeper("two"));
+    let (mut one, mut two) = (site.controller("one"), site.controller("two"));
 
     one.reconcile().await;
     let by_first = engines.orders().len();
     two.reconcile().await;
     assert_eq!((by_first, engines.orders().len()), (2, 2));
 
-    // Lease and guard have passed since the second saw the row.
+    // The lease and most of the guard have passed since the second instance saw the row.
     site.clock.advance(Millis(3_500));
     two.reconcile().await;
     assert_eq!(engines.orders().len(), 2, "the guard has not passed");
@@ -227,50 +228,48 @@
     assert!(orders.iter().filter(|order| order.starts_with("Prefill 2 ")).count() == 2);
 }
 
-/// Symptom: orders go out under a lease that was never gained.
-/// Sequence: the write of the lease fails in one of the ways below.
-/// Cause: only an answered write gives the lease. A lost answer may have written the row, so its
-/// own holder, too, waits for the lapse.
+/// Guards against orders under a lease that was never acquired. Only an answered write grants the
+/// lease. A write whose answer is lost may still have stored the row, so its own holder waits for
+/// the expiry too.
 #[tokio::test]
-async fn verify_no_order_goes_out_without_an_answered_lease() {
+async fn verify_no_order_is_sent_without_an_answered_lease_write() {
     for fault in [Fault::Away, Fault::AnswersLost] {
         let engines = engines(4, "200 OK").await;
         let site = site(&engines);
-        let mut keeper = site.keeper("one");
+        let mut controller = site.controller("one");
         site.table.set_fault(fault);
 
-        keeper.reconcile().await;
+        controller.reconcile().await;
         site.table.set_fault(Fault::None);
         if fault == Fault::AnswersLost {
-            keeper.reconcile().await;
+            controller.reconcile().await;
         }
 
         assert!(engines.orders().is_empty(), "{fault:?}");
     }
 }
 
-/// Symptom: a holder that was refused goes on with its old token, or an order is given twice.
-/// Sequence: engines answer the first orders as below.
-/// Cause: after a newer token was seen the lease is worthless; an order whose answer was lost may
-/// still be carried out.
+/// Guards against a refused holder that continues with its old token, and against an order that is
+/// given twice. Once a newer token has been seen the lease is invalid; an order whose answer was
+/// lost may still be carried out.
 #[tokio::test]
 async fn verify_orders_are_not_repeated_at_once() {
     for status in ["412 Fenced", "409 Busy", "421 Misdirected", ""] {
         let engines = engines(2, status).await;
         let site = site(&engines);
-        let mut keeper = site.keeper("one");
+        let mut controller = site.controller("one");
 
         for _ in 0..3 {
-            keeper.reconcile().await;
+            controller.reconcile().await;
         }
 
         assert_eq!(engines.orders().len(), 1, "{status}");
     }
 }
 
-/// Symptom: an order of a holder that had lost its lease takes effect.
-/// Sequence: the holder is suspended between taking the lease and giving its orders.
-/// Cause: the lease is counted from before its write was sent, and looked at before each order.
+/// Guards against an order from a holder that has lost its lease because it was suspended between
+/// acquiring the lease and giving its orders. The lease counts from before its write was sent, and
+/// is checked before each order.
 #[tokio::test]
 async fn verify_a_suspended_holder_gives_no_order() {
     let clock = ManualClock::new();
@@ -290,7 +289,7 @@
     let gateway = gateway(clock.clone(), config, entries.to_vec(), ample_budget());
     let site = Site { gateway, table: MemoryTable::default(), clock };
 
-    site.keeper("one").reconcile().await;
+    site.controller("one").reconcile().await;
 
     let lines: Vec<_> = upstream.received().into_iter().map(|one| one.line).collect();
     assert_eq!(lines, ["GET /report HTTP/1.1"]);
--- a/crates/anvilhook-gateway/tests/stops.rs
+++ b/crates/anvilhook-gateway/tests/stops.rs
@@ -1,4 +1,4 @@
-//! What a gateway takes on while its instance stops, and how it ends.
+//! Tests of what a gateway accepts while its instance stops, and of the end of the stop.
 
 mod support;
 
@@ -28,10 +28,10 @@
 const STREAM: Repeats = Repeats::Stream { resumable: false };
 const PROMPT: &str = "T-Tokens: 400\r\n";
 
-/// How long callers of the tests wait.
+/// How long the callers of the tests wait.
 const LIMIT: Millis = Millis(2_000);
 
-/// An end that comes before the callers' limit.
+/// The time to an end that comes before the callers' limit.
 const TOO_SOON: Millis = Millis(1_990);
 
 async fn front_of(
@@ -43,32 +43,34 @@
     start_by(clock.clone(), Some(config(repeats, 2, has_engine)), entries, ample_budget()).await
 }
 
-/// Has a gateway see outputs that took so long.
-fn teach(front: &Front<ManualClock>, output_ms: f64) {
+/// Records outputs of this duration in the gateway's speed estimate.
+fn record_outputs(front: &Front<ManualClock>, output_ms: f64) {
     let service = Arc::from("service");
     (0..20).for_each(|_| front.gateway.speeds().record_output(&service, 8, output_ms));
 }
 
 /// Returns a request whose caller waits for as long as the route allows, which is 3 s.
-fn patient_request(id: &str) -> String {
+fn long_request(id: &str) -> String {
     request(id, PROMPT, "").replace("T-Deadline: 2000", "T-Deadline: 60000")
 }
 
-/// Returns the stop of an instance that ends in `time`, and of which load balancers know already or
-/// not yet.
+/// Returns the stop of an instance that ends in `time`. `is_noticed` says whether load balancers
+/// already know of it.
 fn stop_in(clock: &ManualClock, time: Millis, is_noticed: bool) -> Stop {
     let ends_at = clock.now() + time;
     let noticed_at = if is_noticed { clock.now() } else { ends_at };
     Stop { noticed_at, ends_at }
 }
 
-/// A stream that an instance took 3.3 s after SIGTERM was cut by its end: what it expected of the
-/// output was a third of what it took. So after the stop is noticed an expectation counts for nothing,
-/// and before only one that comes from outputs seen. What the caller's own limit bounds is taken. The
-/// same holds for streams of services without engines and for plain requests.
+/// Guards against accepting requests that the end of the instance truncates. A stream accepted 3.3
+/// s after SIGTERM was truncated because its output took three times as long as expected. So once
+/// the stop is noticed, an expectation does not count, and before that only one based on recorded
+/// outputs does. A request that the caller's own limit bounds is accepted. The same holds for
+/// streams of services without engines and for plain requests.
 #[tokio::test]
-async fn verify_only_what_surely_ends_is_taken_on() {
-    // Whether the stop is noticed, when the end comes, the outputs seen, and the status.
+async fn verify_only_requests_sure_to_complete_are_accepted() {
+    // Whether the stop is noticed, the time to the end, the duration of recorded outputs, and the
+    // status.
     let of_engines = [
         (false, TOO_SOON, None, 503),
         (false, TOO_SOON, Some(100.0), 200),
@@ -91,7 +93,7 @@
             let upstream = Upstream::always(whole).await;
             let entries = vec![Entry { role, ..entry("u", upstream.address.port()) }];
             let front = front_of(&clock, repeats, role.is_some(), entries).await;
-            output_ms.into_iter().for_each(|output_ms| teach(&front, output_ms));
+            output_ms.into_iter().for_each(|output_ms| record_outputs(&front, output_ms));
             front.gateway.begin_stop(stop_in(&clock, ends_in, is_noticed));
 
             let answer = front.post("r1", PROMPT, "").await;
@@ -99,16 +101,17 @@
             let case = format!("{repeats:?} {role:?} {is_noticed} {ends_in:?} {output_ms:?}");
             assert_eq!(answer.status, status, "{case}: {answer:?}");
             assert_eq!(upstream.received().len(), usize::from(status == 200), "{case}");
-            let comes_back = answer.head.contains("retry-after: 0.000");
-            assert_eq!(comes_back, status == 503, "{case}: {answer:?}");
+            let is_retryable = answer.head.contains("retry-after: 0.000");
+            assert_eq!(is_retryable, status == 503, "{case}: {answer:?}");
         }
     }
 }
 
-/// A prompt was read while the stop was noticed, and its output begun then: the look had come before
-/// the reading. It is repeated before the output is begun, and the caller is told that nothing has run.
+/// Guards against starting output after the stop is noticed, when the check came before the
+/// prefill. The check is repeated before the output starts, and the caller is told that nothing has
+/// run.
 #[tokio::test]
-async fn verify_a_stream_whose_prompt_was_read_past_the_notice_is_refused() {
+async fn verify_a_stream_whose_prefill_outlasts_the_notice_is_refused() {
     for (reading_ms, status) in [(900, 200), (1_100, 503)] {
         let clock = ManualClock::new();
         let passing = clock.clone();
@@ -121,12 +124,12 @@
         let engines =
             vec![engine("r", &reader, Role::Prefill), engine("g", &generator, Role::Decode)];
         let front = front_of(&clock, STREAM, true, engines).await;
-        teach(&front, 100.0);
+        record_outputs(&front, 100.0);
         let now = clock.now();
         let stop = Stop { noticed_at: now + Millis(1_000), ends_at: now + Millis(2_990) };
         front.gateway.begin_stop(stop);
 
-        let answer = front.raw(&patient_request("r1")).await;
+        let answer = front.raw(&long_request("r1")).await;
 
         assert_eq!(answer.status, status, "{reading_ms}: {answer:?}");
         let outputs =
@@ -135,8 +138,8 @@
     }
 }
 
-/// Starts a gateway that stops: the stop is noticed while the first upstream has the request, and the end
-/// comes just before the caller's limit, or with it.
+/// Starts a gateway that is stopping: the stop is noticed while the first upstream runs the
+/// request, and the end comes just before the caller's limit, or at it.
 async fn stopping(
     first: Vec<Step>,
     role: Option<Role>,
@@ -153,34 +156,36 @@
     let far = Entry { role, zone: "zone-b".into(), ..entry("second", second.address.port()) };
     let repeats = Repeats::Stream { resumable: true };
     let front = front_of(&clock, repeats, role.is_some(), vec![near, far]).await;
-    teach(&front, 100.0);
+    record_outputs(&front, 100.0);
     let now = clock.now();
-    // Of a service without engines nothing is known: only what its caller bounds is taken on.
+    // Nothing is known of the outputs of a service without engines, so only a request that its
+    // caller's limit bounds is accepted.
     let ends_in = if role.is_some() { Millis(2_990) } else { Millis(3_000) };
     let noticed_at = now + Millis(1_000);
     front.gateway.begin_stop(Stop { noticed_at, ends_at: now + ends_in });
     (front, first, second)
 }
 
-/// A stream that broke during a stop was given up, though another engine could have gone on with it in
-/// time. Its caller has the beginning, and nothing to lose by the attempt.
+/// Guards against abandoning a stream that breaks during a stop although another engine could
+/// complete it in time. Its caller has the beginning, so another attempt costs it nothing.
 #[tokio::test]
-async fn verify_a_broken_stream_goes_on_past_the_notice() {
+async fn verify_a_broken_stream_is_resumed_after_the_notice() {
     for role in [Some(Role::Decode), None] {
         let broken = vec![stream_head(), event(1), Step::Close];
         let (front, _first, _second) = stopping(broken, role).await;
 
-        let answer = front.raw(&patient_request("r1")).await;
+        let answer = front.raw(&long_request("r1")).await;
 
         assert_eq!((answer.status, answer.events()), (200, vec![1, 2, 3]), "{role:?}: {answer:?}");
         assert!(answer.is_complete(), "{role:?}: {answer:?}");
     }
 }
 
-/// A stream that had begun before the signal broke past the notice, and was given up for the instance's
-/// end, though its caller had nothing to lose by another attempt.
+/// Guards against abandoning a stream that began before the signal and breaks after the notice. It
+/// used to be abandoned because the instance was ending, although another attempt would have cost
+/// its caller nothing.
 #[tokio::test]
-async fn verify_a_stream_from_before_the_signal_goes_on_past_the_notice() {
+async fn verify_a_stream_begun_before_the_signal_is_resumed_after_the_notice() {
     for role in [Some(Role::Decode), None] {
         let clock = ManualClock::new();
         let stop = stop_in(&clock, TOO_SOON, true);
@@ -198,26 +203,26 @@
         let front = front_of(&clock, repeats, role.is_some(), vec![near, far]).await;
         let front = started.get_or_init(|| front);
 
-        let answer = front.raw(&patient_request("r1")).await;
+        let answer = front.raw(&long_request("r1")).await;
 
         assert_eq!((answer.status, answer.events()), (200, vec![1, 2, 3]), "{role:?}: {answer:?}");
         assert!(answer.is_complete(), "{role:?}: {answer:?}");
     }
 }
 
-/// A request that an engine had taken and not answered would have been refused as not run, when the stop
-/// was noticed before it could be sent again.
+/// Guards against reporting a request as not run that an engine had accepted but not answered. This
+/// happened when the stop was noticed before the request could be retried.
 #[tokio::test]
-async fn verify_a_request_that_may_have_run_is_not_called_refused() {
+async fn verify_a_request_that_may_have_run_is_not_reported_as_refused() {
     let (front, _first, second) = stopping(vec![Step::Close], Some(Role::Decode)).await;
 
-    let answer = front.raw(&patient_request("r1")).await;
+    let answer = front.raw(&long_request("r1")).await;
 
     let runs = second.received().iter().filter(|one| one.line.starts_with("POST")).count();
     assert_eq!((answer.status, runs), (502, 0), "{answer:?}");
 }
 
-/// Sends bytes and reads to the end of the answer's head, after which the connection may stay open.
+/// Sends bytes and reads to the end of the answer's head. The connection may stay open afterwards.
 async fn head_of(front: &Front<ManualClock>, bytes: &str) -> String {
     let mut caller = TcpStream::connect(front.address).await.expect("it listens");
     caller.write_all(bytes.as_bytes()).await.expect("it reads");
@@ -228,7 +233,7 @@
     String::from_utf8_lossy(&buf).into_owned()
 }
 
-/// A caller went on using a connection to an instance that was about to end.
+/// Guards against a caller that keeps using its connection to an instance that is about to end.
 #[tokio::test]
 async fn verify_answers_of_a_stopping_instance_close_their_connections() {
     for (ends_in, status) in [(LIMIT, 200), (TOO_SOON, 503)] {
@@ -237,25 +242,25 @@
         let entries = vec![entry("u", upstream.address.port())];
         let front = front_of(&clock, Repeats::AtMostOnce, false, entries).await;
         front.gateway.begin_stop(stop_in(&clock, ends_in, true));
-        let keeps = request("r1", "", "").replace("Connection: close\r\n", "");
+        let keep_alive = request("r1", "", "").replace("Connection: close\r\n", "");
 
-        let head = head_of(&front, &keeps).await;
+        let head = head_of(&front, &keep_alive).await;
 
         assert!(head.starts_with(&format!("HTTP/1.1 {status} ")), "{head}");
         assert!(head.to_lowercase().contains("connection: close"), "{head}");
     }
 }
 
-/// Requests to an upstream that had frozen got no answer at all when their instance ended: the
-/// connection was closed, which tells a caller nothing. Now each is told whether it may have run.
+/// Guards against closing a connection without an answer. Requests to a frozen upstream got no
+/// answer when their instance ended; each must be answered with whether it may have run.
 #[tokio::test]
-async fn verify_whoever_waits_at_the_end_is_told_what_became_of_the_request() {
+async fn verify_waiting_callers_get_a_verdict_at_the_end() {
     let hanging = || vec![Step::Hang];
     let cases = [
         (Repeats::AtMostOnce, None, 502, "plain"),
-        (Repeats::Idempotent, None, 502, "plain, may run again"),
-        (STREAM, Some(Role::Decode), 502, "output that has not begun"),
-        (STREAM, Some(Role::Prefill), 503, "prompt that is being read"),
+        (Repeats::Idempotent, None, 502, "plain, idempotent"),
+        (STREAM, Some(Role::Decode), 502, "output not started"),
+        (STREAM, Some(Role::Prefill), 503, "prefill in progress"),
     ];
     for (repeats, role, status, name) in cases {
         let clock = ManualClock::new();
@@ -274,7 +279,7 @@
             front.gateway.end();
         };
 
-        let req = patient_request("r1");
+        let req = long_request("r1");
         let (answer, ()) = tokio::join!(front.raw(&req), ending);
 
         assert_eq!(answer.status, status, "{name}: {answer:?}");
@@ -284,10 +289,10 @@
     }
 }
 
-/// A caller that was still sending its request when the instance ended got no answer. Nothing has run,
-/// and it is told so.
+/// Guards against leaving a caller without an answer that is still sending its request when the
+/// instance ends. Nothing has run, and the answer reports that.
 #[tokio::test]
-async fn verify_a_request_that_is_still_coming_at_the_end_is_refused() {
+async fn verify_a_request_still_being_received_at_the_end_is_refused() {
     let clock = ManualClock::new();
     let upstream = Upstream::always(vec![signed("200 OK", "ok")]).await;
     let entries = vec![entry("u", upstream.address.port())];
@@ -308,10 +313,10 @@
     assert!(upstream.received().is_empty());
 }
 
-/// A request that was read after the end of its instance was looked into as any other, or refused as
-/// stopping, as chance would have it. Here no route would be found for it.
+/// Guards against processing a request that was read after the end of its instance. By chance it
+/// was either handled as usual or refused as stopping. In this test no route matches it.
 #[tokio::test]
-async fn verify_nothing_is_looked_into_after_the_end() {
+async fn verify_no_request_is_processed_after_the_end() {
     const REQUESTS: usize = 64;
     let clock = ManualClock::new();
     let front = front_of(&clock, Repeats::AtMostOnce, false, Vec::new()).await;
@@ -327,9 +332,9 @@
     }
 }
 
-/// A stop that was begun twice would have put the end off, and the process been killed before it.
+/// Guards against a second stop that postpones the end, so that the process is killed before it.
 #[tokio::test]
-async fn verify_a_stop_that_is_begun_again_does_not_put_the_end_off() {
+async fn verify_a_second_stop_does_not_postpone_the_end() {
     let clock = ManualClock::new();
     let upstream = Upstream::always(vec![signed("200 OK", "ok")]).await;
     let entries = vec![entry("u", upstream.address.port())];
@@ -341,16 +346,16 @@
     assert_eq!(front.post("r1", "", "").await.status, 503);
 }
 
-/// Returns a request as the gateway is given it by its server.
+/// Returns a request as the server passes it to the gateway.
 fn received(id: &str, body: Body) -> Request {
     let req = http::Request::post("/a/b").header("Host", "host.example");
     req.header("T-Id", id).header("T-Deadline", "2000").body(body).expect("a request")
 }
 
-/// A caller read a large answer slowly while its instance stopped, and got all but its end: of 9,250,000
-/// bytes 9,103,747. The request counted as over with the last piece that was handed to its connection, of
-/// which up to 400 kB lay in the process still; nothing seemed to be in flight, and the process ended.
-/// Here the test has the pieces for as long as a connection would.
+/// Guards against ending the process while it still holds a part of an answer. A caller that read a
+/// large answer slowly during a stop got 9,103,747 of 9,250,000 bytes. The request counted as
+/// completed once its last piece was handed to the connection, while up to 400 kB were still in the
+/// process. In this test the test itself holds the pieces for as long as a connection would.
 #[tokio::test]
 async fn verify_a_request_is_in_flight_until_its_answer_has_left_the_process() {
     const LARGE: usize = 200_000;
@@ -377,7 +382,7 @@
     }
 }
 
-/// Returns a stream of events with so many bytes of text, which all come at once.
+/// Returns a stream of events with `bytes` bytes of text each, written all at once.
 fn stream_at_once(events: usize, bytes: usize) -> Vec<Step> {
     let text = "x".repeat(bytes);
     let events = (1..=events).map(|id| chunk(&format!("id: {id}\ndata: {text}\n\n")));
@@ -389,15 +394,16 @@
     vec![Step::Write(texts.collect())]
 }
 
-/// A stream was taken on because its caller's limit would end it before the instance. Its engine wrote
-/// faster than the caller read, so that the next event was always there, and the limit ended nothing: 199
-/// of 200 events were passed on after it. What goes on so is cut by the end of the instance. A short stream
-/// that is there whole as the limit passes is not cut: its caller would get no answer at all.
+/// Guards against a stream that continues past its caller's limit, on which its acceptance during
+/// the stop relied, and is then truncated by the end of the instance. The engine wrote faster than
+/// the caller read, so the next event was always ready and the limit never applied: 199 of 200
+/// events were forwarded after it. A short stream that is completely available when the limit
+/// passes is not truncated; otherwise its caller would get no answer at all.
 #[tokio::test]
-async fn verify_a_stream_ends_at_its_callers_limit_though_events_are_there() {
-    const MOST: usize = 64 << 10;
-    // The events, the bytes of each, and whether the stream is cut.
-    for (events, bytes, cut) in [(200, 10_000, true), (3, 10, false)] {
+async fn verify_a_stream_ends_at_its_callers_limit_although_events_are_ready() {
+    const MAX_BYTES: usize = 64 << 10;
+    // The number of events, the bytes of each, and whether the stream is truncated.
+    for (events, bytes, expected) in [(200, 10_000, true), (3, 10, false)] {
         let clock = ManualClock::new();
         let upstream = Upstream::always(stream_at_once(events, bytes)).await;
         let entries = vec![entry("u", upstream.address.port())];
@@ -407,22 +413,26 @@
         let first = body.frame().await.expect("it begins").expect("an event");
 
         clock.advance(LIMIT);
-        let mut passed_on = 0;
-        let is_cut = loop {
+        let mut forwarded = 0;
+        let is_truncated = loop {
             match body.frame().await {
-                Some(Ok(frame)) => passed_on += frame.into_data().expect("data").len(),
+                Some(Ok(frame)) => forwarded += frame.into_data().expect("data").len(),
                 end => break end.is_some(),
             }
         };
 
         assert!(first.is_data());
-        assert!(is_cut == cut && passed_on <= MOST, "{events} events: {passed_on} bytes, {is_cut}");
+        assert!(
+            is_truncated == expected && forwarded <= MAX_BYTES,
+            "{events} events: {forwarded} bytes, {is_truncated}"
+        );
     }
 }
 
-/// A stream was taken on because its caller's limit would end it in time. Its engine froze, and was asked
-/// shortly before the limit whether it still works on the stream. The question had a time of its own, and
-/// the stream ended half a second after its limit.
+/// Guards against a stream that outlasts its caller's limit, on which its acceptance relied. Its
+/// engine froze, and shortly before the limit the gateway polled it for whether it still worked on
+/// the stream. That call had a timeout of its own, and the stream ended half a second after its
+/// limit.
 #[tokio::test]
 async fn verify_a_stream_whose_engine_freezes_ends_at_its_callers_limit() {
     let clock = TimerClock::new();
@@ -449,7 +459,8 @@
     assert!(late <= Millis(100), "{late:?} after the limit");
 }
 
-/// A stream broke after its instance had ended, and was sent to another engine, which ran it for nobody.
+/// Guards against resending a stream that breaks after the end of its instance. Another engine ran
+/// it although no caller was left.
 #[tokio::test]
 async fn verify_a_stream_that_breaks_after_the_end_is_not_sent_again() {
     let clock = ManualClock::new();
@@ -469,10 +480,11 @@
     assert!(second.received().is_empty());
 }
 
-/// A request had come whole in the very moment in which its instance ended, and by chance was sent to an
-/// upstream in that moment. Its caller was told that it may have run; it has not, and is refused.
+/// Guards against starting a request that is completely received at the moment its instance ends.
+/// By chance it was sent to an upstream at that moment, and its caller was told that it may have
+/// run. It has not run and must be refused.
 #[tokio::test]
-async fn verify_nothing_is_begun_in_the_moment_of_the_end() {
+async fn verify_no_request_is_started_at_the_moment_of_the_end() {
     const ROUNDS: usize = 32;
     for round in 0..ROUNDS {
         let clock = ManualClock::new();
--- a/crates/anvilhook-gateway/tests/streams.rs
+++ b/crates/anvilhook-gateway/tests/streams.rs
@@ -1,4 +1,5 @@
-//! Streams of model engines: reading and generating apart, resumption, and the end.
+//! Tests of streams from model engines: separate prefill and generation, resumption, and the end of
+//! a stop.
 
 mod support;
 
@@ -27,20 +28,20 @@
 const RESUMABLE: Repeats = Repeats::Stream { resumable: true };
 const ONCE: Repeats = Repeats::Stream { resumable: false };
 const PROMPT: &str = "T-Tokens: 400\r\n";
-/// A prompt that shares nothing with [`PROMPT`], so that an engine that has read that one has still to read
-/// all of it.
+/// A prompt that shares nothing with [`PROMPT`], so that an engine that has read [`PROMPT`] still
+/// has to read all of it.
 const LONG: &str = "T-Tokens: 20000\r\nT-First-Part: 11\r\n";
 
-/// Returns a stream that breaks after `last`, in the middle of the next event.
-fn broken(last: u64, end: Step) -> Vec<Step> {
+/// Returns a stream that breaks after the event `last`, in the middle of the next event.
+fn broken_stream(last: u64, end: Step) -> Vec<Step> {
     let mut steps = vec![stream_head()];
     steps.extend((1..=last).map(event));
     steps.extend([chunk("id: 99\nda"), end]);
     steps
 }
 
-/// Returns the same as `engine`, in another availability zone than the gateway's, so that it comes
-/// second.
+/// Returns the same as `engine`, in another availability zone than the gateway's, so that it is
+/// chosen second.
 fn far_engine(id: &str, upstream: &Upstream, role: Role) -> Entry {
     Entry { zone: "zone-b".into(), ..engine(id, upstream, role) }
 }
@@ -49,8 +50,8 @@
     start(Some(config(repeats, 2, true)), engines, ample_budget()).await
 }
 
-/// `BusyReader` is a gateway whose only reader reads for as long as `backlog` is held, and whose time
-/// stands still, so that no stall of the machine makes what waits there late.
+/// `BusyReader` is a gateway whose only reader is busy for as long as `backlog` is held. Its clock
+/// stands still, so that no stall of the machine makes the waiting requests late.
 struct BusyReader {
     clock: ManualClock,
     front: Front<ManualClock>,
@@ -73,22 +74,22 @@
     }
 }
 
-/// Symptom: an event is missing, comes twice, or is cut; or a cut stream looks complete.
-/// Sequence: the first engine breaks off in one of the ways below.
-/// Cause: only whole events are passed on, and another run goes on after the last one.
+/// Guards against a missing, repeated or partial event, and against a truncated stream that looks
+/// complete. The first engine breaks off in one of the ways below. Only whole events are forwarded,
+/// and another run continues after the last of them.
 #[tokio::test]
-async fn verify_a_broken_stream_goes_on_or_is_seen_to_be_cut() {
+async fn verify_a_broken_stream_is_resumed_or_visibly_truncated() {
     let repeat = |received: &Received| match received.header("last-event-id") {
-        // Engines may send what the caller has already.
+        // Engines may resend events that the caller already has.
         Some("2") => stream(2, 4),
         Some(_) => stream(1, 4),
         None => stream(1, 4),
     };
     let cases = [
-        ("resumable, closed", RESUMABLE, broken(2, Step::Close), true),
-        ("resumable, reset", RESUMABLE, broken(2, Step::Reset), true),
-        ("once, closed", ONCE, broken(2, Step::Close), false),
-        ("once, reset", ONCE, broken(2, Step::Reset), false),
+        ("resumable, closed", RESUMABLE, broken_stream(2, Step::Close), true),
+        ("resumable, reset", RESUMABLE, broken_stream(2, Step::Reset), true),
+        ("once, closed", ONCE, broken_stream(2, Step::Close), false),
+        ("once, reset", ONCE, broken_stream(2, Step::Reset), false),
     ];
     for (name, repeats, first, is_whole) in cases {
         let first = Upstream::always(first).await;
@@ -108,14 +109,15 @@
     }
 }
 
-/// Symptom: a whole answer is cut, or a stream hangs that could go on.
-/// Sequence: a resumable stream falls silent after two events; its engine is alive and goes on once it has
-/// been asked, or is gone, or has started again under its id.
-/// Cause: silence alone says nothing; an engine that answers a call may still work on the stream,
-/// unless it is another start of it that answers.
+/// Guards against truncating a stream that would have completed, and against one that hangs
+/// although it could be resumed. A resumable stream sends nothing after two events. Its engine is
+/// alive and continues once it has been polled, or has terminated, or has restarted under its id. A
+/// pause alone proves nothing: an engine that answers a poll may still work on the stream, unless
+/// another incarnation of it answers.
 #[tokio::test]
-async fn verify_a_silent_stream_goes_on_elsewhere_only_if_its_engine_is_gone() {
-    // The start that the engine's entry names, its report, and whether the two say that it lives on.
+async fn verify_a_stalled_stream_is_resumed_elsewhere_only_if_its_engine_is_gone() {
+    // The incarnation in the engine's entry, its report, and whether the two show that the engine
+    // is still alive.
     let cases = [
         (Some(1), Some("decode"), true),
         (Some(1), Some("decode again"), false),
@@ -124,26 +126,25 @@
         (Some(1), None, false),
     ];
     for (born, report, is_alive) in cases {
-        let asked = Arc::new(Notify::new());
+        let polled = Arc::new(Notify::new());
         let script = move |received: &Received| {
             let began = vec![stream_head(), event(1), event(2)];
             if received.line.starts_with("GET /report") {
-                asked.notify_one();
+                polled.notify_one();
                 vec![report.map_or(Step::Close, |report| signed("200 OK", report))]
             } else if is_alive {
-                let goes_on =
-                    vec![Step::Await(Arc::clone(&asked)), event(3), event(4), stream_end()];
-                [began, goes_on].concat()
+                let rest = vec![Step::Await(Arc::clone(&polled)), event(3), event(4), stream_end()];
+                [began, rest].concat()
             } else {
                 [began, vec![Step::Hang]].concat()
             }
         };
-        let silent = Upstream::start(script).await;
+        let stalled = Upstream::start(script).await;
         let other = Upstream::always(stream(1, 4)).await;
         let far = far_engine("other", &other, Role::Decode);
-        let silent = Entry { born, ..engine("silent", &silent, Role::Decode) };
+        let stalled = Entry { born, ..engine("stalled", &stalled, Role::Decode) };
         let config = unhurried(&config(RESUMABLE, 2, true));
-        let front = start(Some(config), vec![silent, far], ample_budget()).await;
+        let front = start(Some(config), vec![stalled, far], ample_budget()).await;
 
         let answer = front.post_unhurried("r1", PROMPT, "").await;
 
@@ -153,11 +154,10 @@
     }
 }
 
-/// Symptom: a stream that runs at most once runs again.
-/// Sequence: its engine closes the connection before the first event.
-/// Cause: a request that was sent may have run, unless the engine says that it has not.
+/// Guards against running an at-most-once stream twice. Its engine closes the connection before the
+/// first event. A request that was sent may have run unless the engine reports that it has not.
 #[tokio::test]
-async fn verify_a_stream_without_events_is_sent_again_only_where_allowed() {
+async fn verify_a_stream_without_events_is_retried_only_where_allowed() {
     let cases = [
         ("resumable, closed", RESUMABLE, vec![Step::Close], 200, 1),
         ("once, closed", ONCE, vec![Step::Close], 502, 0),
@@ -165,7 +165,7 @@
         ("once, refused", ONCE, vec![refusal()], 200, 1),
         ("once, unsigned", ONCE, vec![unsigned(), event(1), stream_end()], 502, 0),
     ];
-    for (name, repeats, first, status, sent_again) in cases {
+    for (name, repeats, first, status, retries) in cases {
         let first = Upstream::always(first).await;
         let second = Upstream::always(stream(1, 2)).await;
         let far = far_engine("second", &second, Role::Decode);
@@ -174,7 +174,7 @@
         let answer = front.post("r1", PROMPT, "").await;
 
         assert_eq!(answer.status, status, "{name}: {answer:?}");
-        assert_eq!(second.received().len(), sent_again, "{name}");
+        assert_eq!(second.received().len(), retries, "{name}");
     }
 }
 
@@ -190,11 +190,11 @@
     vec![signed("200 OK", "handle h1")]
 }
 
-/// Symptom: a prompt is read where others' output is generated, or a caller gets a handle.
-/// Sequence: a plain request to a service whose engines take one stage each.
-/// Cause: the reader is asked for its stage only, and the generator fetches from it.
+/// Guards against reading (prefill) on an engine that generates, and against a handle that reaches
+/// a caller. In a service whose engines run one stage each, the reader is asked for its stage only,
+/// and the generator fetches from it.
 #[tokio::test]
-async fn verify_a_prompt_is_read_by_one_engine_and_generated_by_another() {
+async fn verify_prefill_and_generation_run_on_separate_engines() {
     let reader = Upstream::start(reader_script).await;
     let generator = Upstream::always(stream(1, 3)).await;
     let engines = vec![
@@ -217,12 +217,11 @@
     assert_eq!(reader.received().len(), 1, "a used handle is not freed");
 }
 
-/// Symptom: the prompts of several instances go to the same idle engine.
-/// Sequence: a prompt is read that is long work, and one that is little.
-/// Cause: long work is told to the others when it begins, not with the next digest.
+/// Guards against several instances sending their prompts to the same idle engine. A long prefill
+/// is published to the peers when it starts, not with the next digest; a short one is not.
 #[tokio::test]
-async fn verify_long_work_is_told_at_once() {
-    for (tokens, is_told) in [(10_000, true), (100, false)] {
+async fn verify_long_work_is_published_at_once() {
+    for (tokens, is_published) in [(10_000, true), (100, false)] {
         let reader = Upstream::start(reader_script).await;
         let generator = Upstream::always(stream(1, 3)).await;
         let engines = vec![
@@ -235,16 +234,16 @@
 
         assert_eq!(answer.status, 200, "{answer:?}");
         let announced = front.gateway.peers().announced().now_or_never();
-        assert_eq!(announced.is_some(), is_told, "{tokens} tokens");
+        assert_eq!(announced.is_some(), is_published, "{tokens} tokens");
     }
 }
 
-/// Symptom: streams wait at engines whose places are taken, while other engines have room.
-/// Sequence: a stream takes one of the last places of an engine, or one of many.
-/// Cause: that the last places go is told to the others at once.
+/// Guards against streams that wait at full engines while others have free slots. A stream that
+/// takes one of an engine's last slots is published to the peers at once; one that takes one of
+/// many is not.
 #[tokio::test]
-async fn verify_a_taken_place_of_a_nearly_full_engine_is_told_at_once() {
-    for (taken, is_told) in [(2, true), (0, false)] {
+async fn verify_a_taken_slot_of_a_nearly_full_engine_is_published_at_once() {
+    for (taken, is_published) in [(2, true), (0, false)] {
         let generator = Upstream::always(stream(1, 3)).await;
         let engines = vec![engine("generator", &generator, Role::Decode)];
         let front = front_of(ONCE, engines).await;
@@ -257,13 +256,12 @@
 
         assert_eq!(answer.status, 200, "{answer:?}");
         let announced = front.gateway.peers().announced().now_or_never();
-        assert_eq!(announced.is_some(), is_told, "{} taken", held.len());
+        assert_eq!(announced.is_some(), is_published, "{} taken", held.len());
     }
 }
 
-/// Symptom: an engine's memory fills with handles that nobody takes.
-/// Sequence: the prompt is read, and then no engine generates.
-/// Cause: a handle that is not used is freed by whoever has it.
+/// Guards against filling an engine's memory with unused handles. The prompt is read but no engine
+/// generates, so the gateway must free the handle.
 #[tokio::test]
 async fn verify_an_unused_handle_is_freed() {
     let reader = Upstream::start(reader_script).await;
@@ -287,11 +285,11 @@
     }
 }
 
-/// Symptom: a request fails although another reader could have served it.
-/// Sequence: the first reader fails in one of the ways below.
-/// Cause: reading a prompt is not running the request, so it may be asked of another.
+/// Guards against failing a request that another reader could have served. The first reader fails
+/// in one of the ways below. A prefill does not run the request, so it may be retried at another
+/// engine.
 #[tokio::test]
-async fn verify_reading_is_asked_of_another_engine() {
+async fn verify_a_failed_prefill_is_retried_at_another_engine() {
     let cases = [
         ("closed", vec![Step::Close]),
         ("refused", vec![refusal()]),
@@ -310,7 +308,7 @@
         ];
         let front = front_of(ONCE, engines).await;
 
-        // A part's home may be either reader; among several requests some meet the bad one.
+        // Either reader may be preferred for a part; of several requests some reach the bad one.
         for round in 0..3 {
             let answer = front.post(&format!("r{round}"), PROMPT, "").await;
             assert_eq!((answer.status, answer.events()), (200, vec![1, 2]), "{name}");
@@ -319,11 +317,11 @@
     }
 }
 
-/// Symptom: requests are refused and the retry budget is spent, though other engines are well.
-/// Sequence: one reader's handles lapse at once, so the generator refuses each of them.
-/// Cause: reading succeeds there every time; only the refused handles tell.
+/// Guards against refused requests and an exhausted retry budget while other engines are healthy.
+/// One reader's handles expire at once, so the generator refuses each of them. Its prefill always
+/// succeeds; only the refused handles reveal the fault.
 #[tokio::test]
-async fn verify_a_reader_whose_handles_are_refused_is_left_alone() {
+async fn verify_a_reader_whose_handles_are_refused_is_not_used_for_a_while() {
     let bad = Upstream::start(|received| match received.line.starts_with("DELETE") {
         true => vec![signed("200 OK", "")],
         false => vec![signed("200 OK", "handle bad")],
@@ -357,15 +355,16 @@
 
     clock.advance(Millis(800));
     ask(6).await;
-    assert_eq!(bad_reads(), 3, "it may be well again");
+    assert_eq!(bad_reads(), 3, "it may have recovered");
 }
 
-/// Symptom: under a full load 1,605 generations are refused, and the retry budget is spent.
-/// Sequence: engines change their roles; the table is away, and the list goes on showing the old ones.
-/// Cause: an engine that refuses a stage has the other role, until a later report of its own is listed.
+/// Guards against 1,605 refused generations and an exhausted retry budget under full load. Engines
+/// change their roles while the table is unreachable, so the instance list still shows the old
+/// roles. An engine that refuses a stage has the other role until a later report of its own is
+/// listed.
 #[tokio::test]
 async fn verify_an_engine_that_refuses_a_stage_is_used_for_the_other() {
-    let turned = Upstream::start(|received| match received.header("t-stage") {
+    let changed = Upstream::start(|received| match received.header("t-stage") {
         Some(_) => vec![signed("200 OK", "handle h1")],
         None if received.line.starts_with("DELETE") => vec![signed("200 OK", "")],
         None => vec![signed("421 Misdirected Request", "")],
@@ -373,9 +372,9 @@
     .await;
     let other = Upstream::always(stream(1, 2)).await;
     let far = far_engine("other", &other, Role::Decode);
-    let listed = engine("turned", &turned, Role::Decode);
+    let listed = engine("changed", &changed, Role::Decode);
     let front = front_of(ONCE, vec![listed.clone(), far]).await;
-    let role = || front.gateway.fleet().view().get("turned").expect("listed").role();
+    let role = || front.gateway.fleet().view().get("changed").expect("listed").role();
 
     for round in 0..3 {
         let answer = front.post(&format!("r{round}"), PROMPT, "").await;
@@ -383,16 +382,16 @@
     }
 
     assert_eq!(role(), Some(Role::Prefill));
-    let refused = turned.received().iter().filter(|one| one.header("t-stage").is_none()).count();
+    let refused = changed.received().iter().filter(|one| one.header("t-stage").is_none()).count();
     assert_eq!(refused, 1);
     front.gateway.adopt_entries([Entry { sequence: 2, ..listed }]);
-    assert_eq!(role(), Some(Role::Decode), "its own later report says so");
+    assert_eq!(role(), Some(Role::Decode), "its own later report shows the role");
 }
 
-/// Symptom: when a quarter of the engines have crashed, one request in five is refused for want of a
-/// retry budget.
-/// Sequence: the engine that is chosen is gone, and its host refuses connections; another one is well.
-/// Cause: what never arrived is no extra arrival, and is tried elsewhere. The engine is left alone then.
+/// Guards against refusing one request in five for lack of retry budget when a quarter of the
+/// engines have crashed. The chosen engine's host refuses connections while another engine is
+/// healthy. A request that never arrived is no extra arrival and is retried elsewhere; the crashed
+/// engine is not used for a while.
 #[tokio::test]
 async fn verify_a_refused_connection_costs_no_budget() {
     for role in [Role::Prefill, Role::Decode] {
@@ -411,23 +410,26 @@
         if role == Role::Prefill {
             engines.push(far_engine("generator", &generator, Role::Decode));
         }
-        let none = BudgetOptions { share: 0.0, spare: 0.0, window: Millis(10_000) };
-        let front = start(Some(config(ONCE, 2, true)), engines, none).await;
+        let no_budget = BudgetOptions { share: 0.0, spare: 0.0, window: Millis(10_000) };
+        let front = start(Some(config(ONCE, 2, true)), engines, no_budget).await;
         let view = front.gateway.fleet().view();
         let state = &view.get("crashed").expect("listed").state;
 
         let answer = front.post("r1", PROMPT, "").await;
 
         assert_eq!((answer.status, answer.events()), (200, vec![1, 2]), "{role:?}: {answer:?}");
-        assert!(!state.is_healthy(SystemClock::new().now()), "{role:?}: it is left alone");
+        assert!(
+            !state.is_healthy(SystemClock::new().now()),
+            "{role:?}: it is not used for a while"
+        );
     }
 }
 
-/// Symptom: nearly two thousand requests get one engine's error though other engines are well.
-/// Sequence: an engine answers each request at once with an error, and says that it is well.
-/// Cause: what may run again is sent to another engine; what may not gets the error as it came.
+/// Guards against nearly two thousand requests that got one engine's error while other engines were
+/// healthy. The engine answers each request at once with an error and reports that it is healthy. A
+/// request that may run again is sent to another engine; any other gets the error unchanged.
 #[tokio::test]
-async fn verify_an_engines_own_error_is_made_up_for_where_allowed() {
+async fn verify_an_engine_error_is_retried_where_allowed() {
     for (repeats, status) in [(RESUMABLE, 200), (ONCE, 500)] {
         let failing = Upstream::always(vec![signed("500 Internal Server Error", "no")]).await;
         let other = Upstream::always(stream(1, 2)).await;
@@ -442,11 +444,11 @@
     }
 }
 
-/// Symptom: output comes from an engine that had begun to leave.
-/// Sequence: the generator's entry says draining while the prompt is being read.
-/// Cause: the generator is chosen after the reading, by what is believed then.
+/// Guards against output from an engine that has begun to leave. The generator's entry changes to
+/// draining during the prefill, so the generator must be chosen after it, by the state at that
+/// time.
 #[tokio::test]
-async fn verify_the_generator_is_chosen_after_the_reading() {
+async fn verify_the_generator_is_chosen_after_the_prefill() {
     let near = Upstream::always(stream(1, 2)).await;
     let far = Upstream::always(stream(1, 2)).await;
     let reader =
@@ -469,27 +471,27 @@
     assert_eq!(far.received().len(), 1);
 }
 
-/// Symptom: a caller waits beyond the route's timeout for a stream that does not end.
-/// Sequence: the engine sends one event and falls silent; the stream can't be resumed.
-/// Cause: the timeout covers the whole answer, not only its head.
+/// Guards against a caller that waits beyond the route's timeout. The engine sends one event and
+/// then nothing, and the stream can't be resumed. The timeout covers the whole answer, not only its
+/// head.
 #[tokio::test]
-async fn verify_a_silent_stream_ends_at_the_timeout() {
-    let silent = Upstream::always(vec![stream_head(), event(1), Step::Hang]).await;
-    let front = front_of(ONCE, vec![engine("silent", &silent, Role::Decode)]).await;
+async fn verify_a_stalled_stream_ends_at_the_timeout() {
+    let stalled = Upstream::always(vec![stream_head(), event(1), Step::Hang]).await;
+    let front = front_of(ONCE, vec![engine("stalled", &stalled, Role::Decode)]).await;
 
     let answer = front.post("r1", PROMPT, "").await;
 
     assert_eq!((answer.status, answer.events()), (200, vec![1]));
     assert!(!answer.is_complete());
-    silent.left().await;
+    stalled.left().await;
 }
 
-/// Symptom: streams are cut by a planned stop.
-/// Sequence: an instance stops; a connection that is kept brings a request three seconds later, whose
-/// output takes longer than the time that is left.
-/// Cause: what can't be whole before the end is refused as not run, so that its caller goes elsewhere.
+/// Guards against truncating streams by a planned stop. Three seconds after the stop begins, a
+/// keep-alive connection sends a request whose output takes longer than the time that is left. A
+/// request that can't complete before the end is refused as not run, so that its caller retries
+/// elsewhere.
 #[tokio::test]
-async fn verify_a_stream_that_a_stop_would_cut_is_refused() {
+async fn verify_a_stream_that_a_stop_would_truncate_is_refused() {
     for (left, status, sent) in [(1_000, 503, 0), (60_000, 200, 1)] {
         let engine_of = Upstream::always(stream(1, 2)).await;
         let front = front_of(RESUMABLE, vec![engine("e", &engine_of, Role::Decode)]).await;
@@ -507,10 +509,10 @@
     }
 }
 
-/// Symptom: a stream is cut by a planned stop.
-/// Sequence: a prompt waits for its reader, which is busy; the signal to stop comes; the reader is
-/// free only when too little time is left for the output.
-/// Cause: whether the end would cut a stream is asked right before it is sent, not only on arrival.
+/// Guards against truncating a stream by a planned stop. A prompt waits for its busy reader when
+/// the signal to stop comes, and the reader becomes free only when too little time is left for the
+/// output. Whether the end would truncate a stream is checked right before it is sent, not only on
+/// arrival.
 #[tokio::test]
 async fn verify_a_stream_that_waits_when_the_stop_begins_is_refused() {
     let BusyReader { clock, front, reader, generator: _generator, backlog } =
@@ -519,7 +521,7 @@
     let service = std::sync::Arc::from("service");
     let left_before = gateway.budget_left(&service, clock.now());
     let stopping = async move {
-        // A request earns its share of the budget when it begins to wait.
+        // A request adds its share to the budget when it begins to wait.
         while gateway.budget_left(&service, clock.now()) <= left_before {
             tokio::task::yield_now().await;
         }
@@ -534,13 +536,13 @@
     assert!(answer.head.contains("retry-after"), "{answer:?}");
 }
 
-/// Symptom: a request reaches an engine though its caller has left long before.
-/// Sequence: an engine takes long over a prompt, or refuses it late. The instance has too little of
-/// its processor, or is suspended, and takes up that answer only after the caller's time.
-/// Cause: whether the caller still waits is asked right before each send.
+/// Guards against sending a request to an engine long after its caller has left. An engine takes
+/// long over a prompt, or refuses it late; the instance is short of CPU time or suspended, and
+/// processes that answer only after the caller's limit. Whether the caller still waits is checked
+/// right before each send.
 #[tokio::test]
 async fn verify_nothing_is_sent_for_a_caller_that_must_have_left() {
-    for (stage, late_ms, sent_on) in
+    for (stage, late_ms, forwarded) in
         [("read", 1_100, 0), ("read", 900, 1), ("refused", 1_100, 0), ("refused", 900, 1)]
     {
         let clock = ManualClock::new();
@@ -559,17 +561,17 @@
 
         let answer = front.post("r1", PROMPT, "").await;
 
-        assert_eq!(next.received().len(), sent_on, "{stage} {late_ms}: {answer:?}");
-        let status = if sent_on == 1 { 200 } else { 503 };
+        assert_eq!(next.received().len(), forwarded, "{stage} {late_ms}: {answer:?}");
+        let status = if forwarded == 1 { 200 } else { 503 };
         assert_eq!(answer.status, status, "{stage} {late_ms}: {answer:?}");
     }
 }
 
-/// Symptom: short prompts are late behind a long one that came just before.
-/// Sequence: the only reader reads; a long prompt comes, then a short one; then the reader is free.
-/// Cause: the long one waits here until the reader is nearly free, and the short one does not.
+/// Guards against short prompts that are late behind a long one that arrived just before them.
+/// While the only reader is busy, a long and then a short prompt arrive. The long one waits at the
+/// gateway until the reader is nearly free; the short one does not.
 #[tokio::test]
-async fn verify_a_long_prompt_waits_here_while_its_reader_reads() {
+async fn verify_a_long_prompt_waits_at_the_gateway_while_its_reader_is_busy() {
     let BusyReader { front, reader, generator: _generator, backlog, .. } =
         BusyReader::start().await;
     let mut long = Box::pin(front.post_unhurried("long", LONG, ""));
@@ -584,10 +586,10 @@
     assert_eq!((long.await.status, reader.received().len()), (200, 2));
 }
 
-/// Symptom: the retry budget is spent at one engine, and other requests are refused for want of it.
-/// Sequence: an engine is ordered to take another role; it ends what runs, and refuses all else for
-/// longer than the change itself takes.
-/// Cause: it gets no work until it is listed with the new role, or the order is surely over.
+/// Guards against spending the retry budget at one engine, so that other requests are refused for
+/// lack of it. An engine that is ordered to change its role ends what it runs and refuses
+/// everything else for longer than the change itself takes. It gets no work until it is listed with
+/// the new role, or the order has certainly ended.
 #[tokio::test]
 async fn verify_an_engine_that_changes_its_role_gets_no_work_until_it_is_listed() {
     let changing = Upstream::always(vec![refusal()]).await;
@@ -610,12 +612,12 @@
     assert!(front.gateway.fleet().takes_work("changing", now), "it has the new role");
 }
 
-/// Symptom: a stream that breaks after some seconds is cut, though another engine could go on.
-/// Sequence: its events come for longer than its caller would wait for one; then its engine ends.
-/// Cause: a caller that has had events counts its patience from the last one.
+/// Guards against truncating a stream that breaks after some seconds although another engine could
+/// resume it. Its events span a longer time than its caller would wait for one. Once a caller has
+/// received events, its wait limit counts from the last one.
 #[tokio::test(start_paused = true)]
-async fn verify_a_stream_that_has_lasted_is_gone_on_with() {
-    let lasting = vec![
+async fn verify_a_long_stream_is_resumed_after_it_breaks() {
+    let steps = vec![
         stream_head(),
         event(1),
         Step::Pause(300),
@@ -624,7 +626,7 @@
         event(3),
         Step::Close,
     ];
-    let lasting = Upstream::always(lasting).await;
+    let lasting = Upstream::always(steps).await;
     let reader = Upstream::start(reader_script).await;
     let other = Upstream::always(stream(1, 4)).await;
     let far = far_engine("other", &other, Role::Decode);
--- a/crates/anvilhook-gateway/tests/suspects.rs
+++ b/crates/anvilhook-gateway/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines end, at a gateway on real sockets.
+//! Tests of requests under which engines terminate, at a gateway on real sockets.
 
 mod support;
 
@@ -32,11 +32,12 @@
 const PROMPT: &str = "T-Tokens: 100\r\n";
 const POISON: &str = "poison";
 
-/// Longer than a look at an engine takes.
-const LOOK: Duration = Duration::from_millis(500);
+/// Longer than the check of an engine takes.
+const CHECK_TIME: Duration = Duration::from_millis(500);
 
-/// An engine that ends when it begins to run the poison request, and streams to any other.
-async fn mortal() -> Upstream {
+/// Starts an engine that terminates when it begins to run the poison request and streams to any
+/// other.
+async fn crashing_engine() -> Upstream {
     Upstream::start(|received| match received.body.as_str() {
         POISON => vec![stream_head(), event(1), Step::End],
         _ => stream(1, 3),
@@ -44,10 +45,10 @@
     .await
 }
 
-async fn mortals(count: usize) -> Vec<Upstream> {
+async fn crashing_engines(count: usize) -> Vec<Upstream> {
     let mut engines = Vec::new();
     for _ in 0..count {
-        engines.push(mortal().await);
+        engines.push(crashing_engine().await);
     }
     engines
 }
@@ -62,7 +63,7 @@
     start(Some(config), entries, ample_budget()).await
 }
 
-/// Returns the requests for output that engines have got with a body.
+/// Returns how many requests for output with this body the engines have received.
 fn runs(engines: &[Upstream], body: &str) -> usize {
     let is_run = |received: &Received| received.line.starts_with("POST") && received.body == body;
     engines.iter().map(|one| one.received().iter().filter(|one| is_run(one)).count()).sum()
@@ -72,22 +73,23 @@
     Fingerprint::of("", "/a/b?c=d", body.as_bytes())
 }
 
-/// Returns how many engines have ended under a request, by what an instance holds.
-fn standing(front: &Front, body: &str) -> Option<usize> {
+/// Returns how many engines have terminated under a request, by an instance's local view.
+fn recorded_ends(front: &Front, body: &str) -> Option<usize> {
     let request = fingerprint(body);
     let suspects = front.gateway.suspects().list(Millis::ZERO);
     let own = suspects.into_iter().find(|(one, ..)| *one == request);
     own.map(|(_, _, ends)| ends.len())
 }
 
-/// A request that ends each engine comes again under new ids, and each repeat is sent on.
+/// Guards against forwarding each repeat of a request that terminates each engine and comes again
+/// under new ids.
 #[tokio::test]
-async fn verify_a_request_under_which_three_engines_ended_is_sent_on_no_more() {
-    let engines = mortals(6).await;
+async fn verify_a_request_is_quarantined_after_three_engine_ends() {
+    let engines = crashing_engines(6).await;
     let front = front(ONCE, listed(&engines)).await;
     for (repeat, ends) in (1..=3).enumerate() {
         front.post(&format!("r{repeat}"), PROMPT, POISON).await;
-        until(|| standing(&front, POISON) == Some(ends)).await;
+        until(|| recorded_ends(&front, POISON) == Some(ends)).await;
     }
 
     let answer = front.post("r4", PROMPT, POISON).await;
@@ -99,30 +101,32 @@
     assert_eq!(runs(&engines, POISON), 3);
 }
 
-/// One attempt of a caller ends engine after engine, as its stream is resumed each time.
+/// Guards against one attempt of a caller that terminates engine after engine because its stream is
+/// resumed each time.
 #[tokio::test]
-async fn verify_the_ends_within_one_attempt_count() {
-    let engines = mortals(8).await;
+async fn verify_ends_within_one_attempt_are_counted() {
+    let engines = crashing_engines(8).await;
     let front = front(RESUMABLE, listed(&engines)).await;
 
     for attempt in 0..6 {
         front.post(&format!("r{attempt}"), PROMPT, POISON).await;
     }
 
-    until(|| standing(&front, POISON) == Some(3)).await;
+    until(|| recorded_ends(&front, POISON) == Some(3)).await;
     assert_eq!(runs(&engines, POISON), 3);
 }
 
-/// A plain service's upstreams end under a request as engines do, and its repeats find the last ones.
+/// Guards against repeats that terminate the last upstreams of a plain service: upstreams terminate
+/// under a request as engines do.
 #[tokio::test]
-async fn verify_plain_upstreams_that_end_count_too() {
-    let mortal = || {
+async fn verify_ends_of_plain_upstreams_are_counted() {
+    let crashing = || {
         Upstream::start(|received| match received.body.as_str() {
             POISON => vec![Step::End],
             _ => vec![signed("200 OK", "fine")],
         })
     };
-    let upstreams = [mortal().await, mortal().await, mortal().await, mortal().await];
+    let upstreams = [crashing().await, crashing().await, crashing().await, crashing().await];
     let ports = upstreams.iter().enumerate();
     let entries = ports.map(|(number, one)| entry(&format!("p{number}"), one.address.port()));
     let config = unhurried(&config(Repeats::Idempotent, 2, false));
@@ -132,15 +136,16 @@
         front.post(&format!("r{attempt}"), "", POISON).await;
     }
 
-    until(|| standing(&front, POISON) == Some(3)).await;
+    until(|| recorded_ends(&front, POISON) == Some(3)).await;
     assert_eq!(runs(&upstreams, POISON), 3);
     assert_eq!(front.post("r9", "", "harmless").await.status, 200);
 }
 
-/// Upstreams of a service end twice under two requests that were tried there together, and the harmless one
-/// meets a third end beside the other, at the only upstream that is left.
+/// Guards against a harmless request that gets a third recorded end because it runs alongside the
+/// harmful one. Upstreams of a service terminated twice under the same two requests, and one
+/// upstream is left.
 #[tokio::test]
-async fn verify_suspects_that_shared_all_ends_are_tried_in_turns() {
+async fn verify_suspects_with_the_same_ends_are_tried_in_turn() {
     let upstream = Upstream::always(vec![signed("500 Error", "why")]).await;
     let config = unhurried(&config(Repeats::AtMostOnce, 2, false));
     let entries = vec![entry("u0", upstream.address.port())];
@@ -156,54 +161,56 @@
 
     let mut turns = Vec::new();
     for turn in 0..4 {
-        let asked = bodies.map(|body| (body, format!("{body}{turn}")));
-        let mut sent_on = Vec::new();
-        for (body, id) in &asked {
+        let requests = bodies.map(|body| (body, format!("{body}{turn}")));
+        let mut forwarded = Vec::new();
+        for (body, id) in &requests {
             if front.post(id, "", body).await.status == 500 {
-                sent_on.push(*body);
+                forwarded.push(*body);
             }
         }
-        turns.push(sent_on);
+        turns.push(forwarded);
         clock.advance(Millis(2_000));
     }
 
     turns.sort();
-    let nobody: Vec<&str> = Vec::new();
-    assert_eq!(turns, [nobody.clone(), nobody, vec!["one"], vec!["other"]]);
+    let none: Vec<&str> = Vec::new();
+    assert_eq!(turns, [none.clone(), none, vec!["one"], vec!["other"]]);
 }
 
-/// A request that ran beside is refused for ever, though it does no harm.
+/// Guards against refusing a harmless request forever because it was running when an engine
+/// terminated.
 #[tokio::test]
-async fn verify_a_run_that_ends_well_clears_what_ran_beside() {
+async fn verify_a_completed_run_clears_a_concurrent_request() {
     let engines = [
         Upstream::start(|_| vec![stream_head(), event(1), Step::End]).await,
         Upstream::always(stream(1, 3)).await,
     ];
     let front = front(ONCE, listed(&engines)).await;
     let mut repeat = 0;
-    while standing(&front, "beside").is_none() {
+    while recorded_ends(&front, "concurrent").is_none() {
         repeat += 1;
-        front.post(&format!("r{repeat}"), PROMPT, "beside").await;
+        front.post(&format!("r{repeat}"), PROMPT, "concurrent").await;
         tokio::task::yield_now().await;
-        if runs(&engines[..1], "beside") > 0 {
-            until(|| standing(&front, "beside").is_some()).await;
+        if runs(&engines[..1], "concurrent") > 0 {
+            until(|| recorded_ends(&front, "concurrent").is_some()).await;
         }
     }
 
-    let answer = front.post("again", PROMPT, "beside").await;
+    let answer = front.post("again", PROMPT, "concurrent").await;
 
     assert_eq!(answer.events(), [1, 2, 3]);
-    until(|| standing(&front, "beside").is_none()).await;
+    until(|| recorded_ends(&front, "concurrent").is_none()).await;
 }
 
-/// What fails at an engine that goes on living is taken for what ends engines, and refused.
+/// Guards against refusing a request that failed at an engine that is still alive, as if it had
+/// terminated the engine.
 #[tokio::test]
-async fn verify_an_engine_that_has_not_ended_speaks_against_nobody() {
+async fn verify_a_live_engine_is_no_evidence_against_a_request() {
     let report = || signed("200 OK", "decode");
     let cases: [(&str, Vec<Step>); 4] = [
-        ("cut", vec![stream_head(), event(1), Step::Reset]),
+        ("truncated", vec![stream_head(), event(1), Step::Reset]),
         ("reset", vec![Step::Reset]),
-        ("spoilt", vec![Step::Write("rubbish\r\n\r\n".to_owned()), Step::Close]),
+        ("not http", vec![Step::Write("rubbish\r\n\r\n".to_owned()), Step::Close]),
         ("failed", vec![signed("500 Error", "")]),
     ];
     for (name, steps) in cases {
@@ -218,39 +225,40 @@
             front.post(&format!("r{repeat}"), PROMPT, "harmless").await;
         }
 
-        let looked = || engine[0].received().iter().any(|one| one.line.contains("/report"));
+        let was_checked = || engine[0].received().iter().any(|one| one.line.contains("/report"));
         if name != "failed" {
-            until(looked).await;
-            tokio::time::sleep(LOOK).await;
+            until(was_checked).await;
+            tokio::time::sleep(CHECK_TIME).await;
         }
-        assert_eq!(standing(&front, "harmless"), None, "{name}");
+        assert_eq!(recorded_ends(&front, "harmless"), None, "{name}");
         assert_eq!(runs(&engine, "harmless"), 4, "{name}");
     }
 }
 
-/// The end of an engine that leaves is its own, and is held against what it still ran.
+/// Guards against counting the end of an engine that leaves on its own as evidence against the
+/// requests that it still ran.
 #[tokio::test]
-async fn verify_the_end_of_a_leaving_engine_speaks_against_nobody() {
+async fn verify_the_end_of_a_leaving_engine_is_no_evidence_against_a_request() {
     let ends = Arc::new(Notify::new());
     let steps = vec![stream_head(), event(1), Step::Await(Arc::clone(&ends)), Step::End];
     let engines = [Upstream::always(steps).await];
     let front = front(ONCE, listed(&engines)).await;
-    let asking = async { front.post("r1", PROMPT, "beside").await };
+    let asking = async { front.post("r1", PROMPT, "concurrent").await };
     let leaving = async {
-        until(|| runs(&engines, "beside") == 1).await;
+        until(|| runs(&engines, "concurrent") == 1).await;
         let view = front.gateway.fleet().view();
         view.get("e0").expect("listed").state.mark_gone(true);
         ends.notify_one();
     };
 
     let (answer, ()) = tokio::join!(asking, leaving);
-    tokio::time::sleep(LOOK).await;
+    tokio::time::sleep(CHECK_TIME).await;
 
     assert!(!answer.is_complete());
-    assert_eq!(standing(&front, "beside"), None);
+    assert_eq!(recorded_ends(&front, "concurrent"), None);
 }
 
-/// Links an instance to others, and returns where it listens for them.
+/// Links an instance to others and returns the address at which it receives digests.
 async fn link(front: &Front, clock: SystemClock, number: u64, others: &[SocketAddr]) -> SocketAddr {
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let address = socket.local_addr().expect("an address");
@@ -260,7 +268,7 @@
     address
 }
 
-/// Starts instances before the same engines that tell each other.
+/// Starts instances with the same engines that exchange digests.
 async fn linked(count: u64, engines: &[Upstream]) -> (Vec<Front>, Vec<SocketAddr>) {
     let (mut fronts, mut addresses) = (Vec::new(), Vec::new());
     for number in 1..=count {
@@ -273,15 +281,16 @@
     (fronts, addresses)
 }
 
-/// Each of three instances has seen one engine end, and none knows the request.
+/// Guards against a request that each of three instances forwards because each has seen only one
+/// engine terminate.
 #[tokio::test]
 async fn verify_ends_seen_by_three_instances_count_together() {
-    let engines = mortals(6).await;
+    let engines = crashing_engines(6).await;
     let (fronts, _) = linked(3, &engines).await;
 
     for (sent, front) in fronts.iter().enumerate() {
         front.post(&format!("r{sent}"), PROMPT, POISON).await;
-        until(|| fronts.iter().all(|front| standing(front, POISON) == Some(sent + 1))).await;
+        until(|| fronts.iter().all(|front| recorded_ends(front, POISON) == Some(sent + 1))).await;
     }
 
     for front in &fronts {
@@ -290,75 +299,80 @@
     assert_eq!(runs(&engines, POISON), 3);
 }
 
-/// An instance that has just started sends a request on that the others have long quarantined.
+/// Guards against an instance that has just started and forwards a request that the others have
+/// long quarantined.
 #[tokio::test]
-async fn verify_a_new_instance_learns_what_is_quarantined() {
-    let engines = mortals(6).await;
+async fn verify_a_new_instance_receives_the_quarantine() {
+    let engines = crashing_engines(6).await;
     let (fronts, addresses) = linked(2, &engines).await;
     for ends in 1..=3 {
         fronts[0].post(&format!("r{ends}"), PROMPT, POISON).await;
-        until(|| standing(&fronts[0], POISON) == Some(ends)).await;
+        until(|| recorded_ends(&fronts[0], POISON) == Some(ends)).await;
     }
 
     let clock = SystemClock::new();
     let new = start_by(clock, Some(config(ONCE, 2, true)), listed(&engines), ample_budget()).await;
     link(&new, clock, 9, &addresses).await;
 
-    until(|| standing(&new, POISON) == Some(3)).await;
+    until(|| recorded_ends(&new, POISON) == Some(3)).await;
 }
 
-/// Lifted at one instance, a request goes on being refused at the others.
+/// Guards against a request that the other instances still refuse after one has lifted its
+/// quarantine.
 #[tokio::test]
 async fn verify_a_lifted_quarantine_is_lifted_everywhere() {
-    let engines = mortals(6).await;
+    let engines = crashing_engines(6).await;
     let (fronts, _) = linked(2, &engines).await;
     for ends in 1..=3 {
         fronts[0].post(&format!("r{ends}"), PROMPT, POISON).await;
-        until(|| fronts.iter().all(|front| standing(front, POISON) == Some(ends))).await;
+        until(|| fronts.iter().all(|front| recorded_ends(front, POISON) == Some(ends))).await;
     }
 
     assert!(fronts[1].gateway.lift(fingerprint(POISON)));
 
-    until(|| fronts.iter().all(|front| standing(front, POISON).is_none())).await;
+    until(|| fronts.iter().all(|front| recorded_ends(front, POISON).is_none())).await;
 }
 
-/// The end of an engine is lost on the way, or told by an instance that has not heard that it was cleared.
+/// Guards against an update that is lost on the network, and against an engine end that is
+/// published by an instance that has not received the clearance.
 #[tokio::test]
-async fn verify_news_is_told_again_and_old_ends_are_not_believed() {
+async fn verify_updates_are_resent_and_old_ends_are_ignored() {
     let one = linked(1, &[]).await.0.remove(0);
     let clock = SystemClock::new();
     let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let address = link(&one, clock, 5, &[other.local_addr().expect("an address")]).await;
     let request = fingerprint(POISON);
-    let tell = async |engine, age_ms| {
-        let news = SuspectUpdate { request, fate: SuspectEvent::Ended { engine, age_ms } };
+    let send = async |engine, age_ms| {
+        let update = SuspectUpdate { request, fate: SuspectEvent::Ended { engine, age_ms } };
         let digest =
-            Digest { from: 7, is_partial: true, suspects: vec![news], ..Digest::default() };
+            Digest { from: 7, is_partial: true, suspects: vec![update], ..Digest::default() };
         let buf = postcard::to_stdvec(&digest).expect("it can be written");
         other.send_to(&buf, address).await.expect("loopback");
     };
-    tell(1, 0).await;
-    until(|| standing(&one, POISON) == Some(1)).await;
+    send(1, 0).await;
+    until(|| recorded_ends(&one, POISON) == Some(1)).await;
 
     one.gateway.lift(request);
-    let mut told = 0;
+    let mut lifted = 0;
     let mut buf = [0; 2_000];
-    while told < 3 {
+    while lifted < 3 {
         let len = other.recv(&mut buf).await.expect("loopback");
         let digest: Digest = postcard::from_bytes(&buf[..len]).expect("a digest");
-        told += digest.suspects.iter().filter(|news| news.fate == SuspectEvent::Lifted).count();
+        lifted +=
+            digest.suspects.iter().filter(|update| update.fate == SuspectEvent::Lifted).count();
     }
-    tell(2, 60_000).await;
-    tell(3, 0).await;
+    send(2, 60_000).await;
+    send(3, 0).await;
 
     let ends = || one.gateway.suspects().ends(request, Millis::ZERO);
     until(|| ends().iter().any(|end| end.engine == 3)).await;
     assert_eq!(ends().len(), 1);
 }
 
-/// An engine that fails a request at once clears it of the engines that it has ended.
+/// Guards against clearing a request of the engine ends recorded for it because another engine
+/// fails it at once.
 #[tokio::test]
-async fn verify_an_error_is_no_run_that_ended_well() {
+async fn verify_an_error_does_not_count_as_a_completed_run() {
     let upstreams = [
         Upstream::start(|_| vec![Step::End]).await,
         Upstream::always(vec![signed("500 Error", "")]).await,
@@ -369,17 +383,18 @@
     let front = start(Some(config), entries.collect(), ample_budget()).await;
     front.gateway.fleet().view().get("p1").expect("listed").state.mark_closed(Millis::MAX, false);
     front.post("r1", "", POISON).await;
-    until(|| standing(&front, POISON) == Some(1)).await;
+    until(|| recorded_ends(&front, POISON) == Some(1)).await;
 
     let answer = front.post("r2", "", POISON).await;
 
     assert_eq!(answer.status, 500);
-    assert_eq!(standing(&front, POISON), Some(1));
+    assert_eq!(recorded_ends(&front, POISON), Some(1));
 }
 
-/// Hundreds of instances know that a request runs well, and each says so to each that suspects it.
+/// Guards against a flood of clearances: hundreds of instances know that a request completes
+/// successfully, and each reports it to each instance that suspects the request.
 #[tokio::test]
-async fn verify_one_instance_that_knows_better_spares_the_others() {
+async fn verify_a_suspicion_is_answered_with_a_completed_run() {
     let engines = [Upstream::always(stream(1, 3)).await];
     let one = linked(1, &engines).await.0.remove(0);
     let other = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
@@ -387,43 +402,44 @@
         link(&one, SystemClock::new(), 5, &[other.local_addr().expect("an address")]).await;
     one.post("r1", PROMPT, "popular").await;
     let request = fingerprint("popular");
-    let tell = async |fate| {
+    let send = async |fate| {
         let suspects = vec![SuspectUpdate { request, fate }];
         let digest = Digest { from: 7, is_partial: true, suspects, ..Digest::default() };
         let buf = postcard::to_stdvec(&digest).expect("it can be written");
         other.send_to(&buf, address).await.expect("loopback");
     };
-    let says_well = async || {
+    let await_completed_run = async || {
         let mut buf = [0; 2_000];
         loop {
             let len = other.recv(&mut buf).await.expect("loopback");
             let digest: Digest = postcard::from_bytes(&buf[..len]).expect("a digest");
-            if digest.suspects.iter().any(|news| news.fate == SuspectEvent::RanWell) {
+            if digest.suspects.iter().any(|update| update.fate == SuspectEvent::RanWell) {
                 return;
             }
         }
     };
 
-    tell(SuspectEvent::Ended { engine: 1, age_ms: 0 }).await;
-    says_well().await;
-    assert_eq!(standing(&one, "popular"), None);
+    send(SuspectEvent::Ended { engine: 1, age_ms: 0 }).await;
+    await_completed_run().await;
+    assert_eq!(recorded_ends(&one, "popular"), None);
 }
 
-/// An operator can't see what is quarantined, or lifts another request by a slip.
+/// Guards against a quarantine that an operator can't see, and against lifting another request's by
+/// mistake.
 #[tokio::test]
 async fn verify_an_operator_sees_and_lifts_a_quarantine() {
-    let engines = mortals(4).await;
+    let engines = crashing_engines(4).await;
     let front = front(ONCE, listed(&engines)).await;
     for ends in 1..=3 {
         front.post(&format!("r{ends}"), PROMPT, POISON).await;
-        until(|| standing(&front, POISON) == Some(ends)).await;
+        until(|| recorded_ends(&front, POISON) == Some(ends)).await;
     }
     let ask = async |method: Method, path: &str| {
         let mut req = Request::new(Body::empty());
         (*req.method_mut(), *req.uri_mut()) = (method, path.parse().expect("a path"));
         let answer = controls::answer(&front.gateway, &req);
         let (status, body) = (answer.status().as_u16(), answer.into_body().collect().await);
-        (status, String::from_utf8(body.expect("it is there").to_bytes().into()).expect("text"))
+        (status, String::from_utf8(body.expect("a body").to_bytes().into()).expect("text"))
     };
     let own = fingerprint(POISON);
 
@@ -437,23 +453,24 @@
     ];
     for (method, path, status) in refused {
         assert_eq!(ask(method, &path).await.0, status, "{path}");
-        assert_eq!(standing(&front, POISON), Some(3), "{path}");
+        assert_eq!(recorded_ends(&front, POISON), Some(3), "{path}");
     }
     assert_eq!(ask(Method::DELETE, &format!("/quarantine/{own}")).await.0, 200);
-    assert_eq!(standing(&front, POISON), None);
+    assert_eq!(recorded_ends(&front, POISON), None);
     assert!(ask(Method::GET, "/metrics").await.1.contains("quarantined_requests 0"));
 }
 
-/// A long stream that many callers ask for is refused, as engines end under it whatever ends them.
+/// Guards against refusing a long stream that many callers request because engines terminate while
+/// running it, for whatever reason.
 #[tokio::test]
-async fn verify_a_stream_that_has_lasted_is_beyond_suspicion() {
+async fn verify_a_long_stream_is_not_suspected() {
     let steps = [stream_head(), event(1), Step::Pause(2_100), event(2), event(3), Step::End];
     let engines = [Upstream::always(steps.to_vec()).await];
     let front = front(ONCE, listed(&engines)).await;
 
     let answer = front.post_unhurried("r1", PROMPT, "long").await;
-    tokio::time::sleep(LOOK).await;
+    tokio::time::sleep(CHECK_TIME).await;
 
     assert!(!answer.is_complete());
-    assert_eq!(standing(&front, "long"), None);
+    assert_eq!(recorded_ends(&front, "long"), None);
 }
--- a/crates/anvilhook-gateway/tests/unreadable.rs
+++ b/crates/anvilhook-gateway/tests/unreadable.rs
@@ -1,6 +1,7 @@
-//! What can't be read is told: by a metric, and by one line of the log for each version.
+//! Tests that unreadable rows and settings are reported by a metric, and by one log line for each
+//! version.
 //!
-//! The log is the process's, so the tests tell their lines apart by the rows' keys.
+//! The log belongs to the process, so the tests distinguish their lines by the rows' keys.
 
 mod support;
 
@@ -16,7 +17,7 @@
 use log::{LevelFilter, Log, Metadata, Record};
 use support::fronts::{TestGateway, ample_budget, gateway};
 
-/// `Lines` keeps the events that were logged.
+/// `Lines` stores the events that were logged.
 struct Lines(Mutex<Vec<String>>);
 
 static LINES: Lines = Lines(Mutex::new(Vec::new()));
@@ -33,13 +34,13 @@
     fn flush(&self) {}
 }
 
-/// Returns the lines so far of what can't be read that hold a text.
+/// Returns the lines logged so far about unreadable rows or settings that contain `text`.
 fn lines_with(text: &str) -> Vec<String> {
-    let is_told = |line: &str| {
+    let is_report = |line: &str| {
         ["\"unreadable_row\"", "\"settings_refused\""].iter().any(|event| line.contains(event))
     };
     let lines = LINES.0.lock().expect("no panic");
-    lines.iter().filter(|line| is_told(line) && line.contains(text)).cloned().collect()
+    lines.iter().filter(|line| is_report(line) && line.contains(text)).cloned().collect()
 }
 
 fn new_gateway() -> TestGateway {
@@ -62,38 +63,38 @@
     value.map_or(0, |value| value.parse().expect("a count"))
 }
 
-/// Symptom: the log is full of one row, or nobody learns that a row can't be read.
-/// Sequence: a row that can't be read stays while the table is read whole again and again; then another
-/// one is written, it is mended, and it is spoilt once more.
-/// Cause: each reading told it; now each version does.
+/// Guards against a log that is full of one row, and against an unreadable row that is never
+/// reported. The row stays while the whole table is read repeatedly; then it is rewritten
+/// unreadable, fixed, and corrupted once more. Each read used to report it; now each version does.
 #[test]
-fn verify_each_version_of_a_row_is_told_once() {
+fn verify_each_version_of_a_row_is_reported_once() {
     let gateway = new_gateway();
     let mut follower = EntryFollower::new(gateway.clone(), SystemClock::new());
-    let told = || (lines_with("\"spoilt-entry\"").len(), count(&gateway, "upstreams"));
+    let reported = || (lines_with("\"corrupt-entry\"").len(), count(&gateway, "upstreams"));
 
     for _ in 0..5 {
-        follower.reset(&[row("spoilt-entry", Some("rubbish"), 3), row("good", Some("ready 1"), 2)]);
+        follower
+            .reset(&[row("corrupt-entry", Some("rubbish"), 3), row("good", Some("ready 1"), 2)]);
     }
-    assert_eq!(told(), (1, 1));
-    follower.change(&[row("spoilt-entry", Some("rubbish"), 3)]);
-    assert_eq!(told(), (1, 1), "the same version, by another way");
-    follower.change(&[row("spoilt-entry", Some("other rubbish"), 4)]);
-    assert_eq!(told(), (2, 2));
-    follower.change(&[row("spoilt-entry", Some("ready 1"), 5)]);
-    follower.change(&[row("spoilt-entry", Some("rubbish"), 6)]);
-    follower.change(&[row("spoilt-entry", None, 7)]);
-    assert_eq!(told(), (3, 3));
+    assert_eq!(reported(), (1, 1));
+    follower.change(&[row("corrupt-entry", Some("rubbish"), 3)]);
+    assert_eq!(reported(), (1, 1), "the same version, as a change");
+    follower.change(&[row("corrupt-entry", Some("other rubbish"), 4)]);
+    assert_eq!(reported(), (2, 2));
+    follower.change(&[row("corrupt-entry", Some("ready 1"), 5)]);
+    follower.change(&[row("corrupt-entry", Some("rubbish"), 6)]);
+    follower.change(&[row("corrupt-entry", None, 7)]);
+    assert_eq!(reported(), (3, 3));
     follower.reset(&[row("good", Some("ready 1"), 2)]);
-    assert_eq!(told(), (3, 3));
+    assert_eq!(reported(), (3, 3));
     assert!(gateway.fleet().view().get("good").is_some());
 }
 
-/// Symptom: nobody learns that the configuration can't be read.
-/// Sequence: its row is spoilt, and read whole again and again.
-/// Cause: each version is told once, and the configuration in force stays.
+/// Guards against an unreadable configuration that is never reported. Its row is corrupted, and the
+/// whole table is read repeatedly. Each version is reported once, and the applied configuration
+/// stays.
 #[test]
-fn verify_a_configuration_that_cannot_be_read_is_told_and_changes_nothing() {
+fn verify_an_unreadable_configuration_is_reported_and_changes_nothing() {
     let gateway = new_gateway();
     let mut follower = ConfigFollower::new(gateway.clone());
     follower.reset(&[row("current", Some("7"), 1)]);
@@ -108,11 +109,10 @@
     assert_eq!(gateway.config().map(|config| config.version), Some(7));
 }
 
-/// Symptom: one line of the log takes the place of thousands.
-/// Sequence: the key of a row that can't be read, and what stands in it, are as long as rows may be.
-/// Cause: both were told whole.
+/// Guards against one log line that takes the space of thousands. The key and the value of an
+/// unreadable row are as long as rows may be, and both used to be logged in full.
 #[test]
-fn verify_lines_about_foreign_texts_are_bounded() {
+fn verify_lines_with_external_text_are_bounded() {
     let gateway = new_gateway();
     let mut follower = EntryFollower::new(gateway, SystemClock::new());
     let key = format!("long-key-{}", "\u{e9}".repeat(100_000));
@@ -124,7 +124,7 @@
     assert!(lines[0].len() < 1_000, "{} bytes", lines[0].len());
 }
 
-/// `Refused` are settings that can't be used.
+/// `Refused` is a source of settings that can't be used.
 struct Refused;
 
 impl OptionSource for Refused {
@@ -133,11 +133,11 @@
     }
 }
 
-/// Symptom: nobody learns that an instance goes on by old settings.
-/// Sequence: the settings are spoilt while it runs.
-/// Cause: they are told by a line and a count, and what was in force stays.
+/// Guards against an instance that keeps running with old settings without a report. The settings
+/// are corrupted while it runs; they are reported by a log line and a counter, and the active
+/// settings stay.
 #[test]
-fn verify_settings_that_cannot_be_used_are_told_and_change_nothing() {
+fn verify_unusable_settings_are_reported_and_change_nothing() {
     let gateway = new_gateway();
     let own = SocketAddr::from(([127, 0, 0, 1], 1));
     let budget = BudgetOptions { share: 0.1, spare: 1.0, window: Millis(1_000) };
--- a/crates/anvilhook-gateway/tests/watches.rs
+++ b/crates/anvilhook-gateway/tests/watches.rs
@@ -1,4 +1,5 @@
-//! One instance of an availability zone follows the tables for all, over real datagrams.
+//! Tests that one instance of an availability zone follows the tables for all its instances, over
+//! real datagrams.
 
 mod support;
 
@@ -28,37 +29,38 @@
 
 const WAIT: Millis = Millis(1_800);
 
-/// `Way` is one instance's way to the table. It counts calls, and may be cut.
+/// `TablePath` is one instance's connection to the table. It counts calls and can
+/// be partitioned.
 #[derive(Clone)]
-struct Way {
+struct TablePath {
     table: MemoryTable,
-    is_cut: Arc<AtomicBool>,
+    is_partitioned: Arc<AtomicBool>,
     calls: Arc<AtomicUsize>,
 }
 
-impl Way {
-    fn pass(&self) -> Result<(), TableError> {
+impl TablePath {
+    fn admit(&self) -> Result<(), TableError> {
         self.calls.fetch_add(1, Ordering::SeqCst);
-        match self.is_cut.load(Ordering::SeqCst) {
-            true => Err(TableError::Refused("cut".to_owned())),
+        match self.is_partitioned.load(Ordering::SeqCst) {
+            true => Err(TableError::Refused("partitioned".to_owned())),
             false => Ok(()),
         }
     }
 }
 
-impl Table for Way {
+impl Table for TablePath {
     async fn scan(&self, table: &str) -> Result<Rows, TableError> {
-        self.pass()?;
+        self.admit()?;
         self.table.scan(table).await
     }
 
     async fn changes(&self, table: &str, version: u64, wait: Millis) -> Result<Rows, TableError> {
-        self.pass()?;
+        self.admit()?;
         self.table.changes(table, version, wait).await
     }
 
     async fn write(&self, table: &str, write: Write) -> Result<Written, TableError> {
-        self.pass()?;
+        self.admit()?;
         self.table.write(table, write).await
     }
 }
@@ -67,13 +69,13 @@
     gateway: Gateway<TestWire, TimerClock>,
     clock: TimerClock,
     number: u64,
-    way: Way,
+    path: TablePath,
     tasks: Vec<JoinHandle<()>>,
 }
 
 impl Instance {
-    /// Has the instance hear the others, and tell them.
-    fn hear(&mut self, socket: UdpSocket) {
+    /// Has the instance exchange digests with the others.
+    fn join(&mut self, socket: UdpSocket) {
         let rng = ChaCha8Rng::seed_from_u64(self.number);
         let exchanging = exchange(socket, self.number, rng, self.gateway.clone(), self.clock);
         self.tasks.push(tokio::spawn(exchanging));
@@ -100,7 +102,7 @@
     }
 }
 
-/// `Zone` is the instances of one availability zone, before one table.
+/// `Zone` is the instances of one availability zone and their table.
 struct Zone {
     table: MemoryTable,
     addresses: Vec<SocketAddr>,
@@ -108,12 +110,12 @@
 }
 
 impl Zone {
-    /// Starts a zone, and waits until one instance follows the entries for all.
+    /// Starts a zone and waits until one instance follows each table for all.
     async fn start() -> Zone {
         Self::start_with(|at| at as u64 + 1).await
     }
 
-    /// Starts the same with the numbers that instances choose.
+    /// Starts a zone whose instances choose these numbers.
     async fn start_with(number: impl Fn(usize) -> u64) -> Zone {
         let table = MemoryTable::default();
         table.put("upstreams", "a", Some("ready 1"));
@@ -128,7 +130,7 @@
             let others = addresses.iter().enumerate().filter(|(other, _)| *other != at);
             let others = others.map(|(_, address)| *address);
             let mut one = instance(number(at), others, &table);
-            one.hear(socket);
+            one.join(socket);
             one
         });
         let zone = Zone { instances: instances.collect(), addresses: addresses.clone(), table };
@@ -144,7 +146,7 @@
     }
 
     fn calls(&self) -> usize {
-        self.instances.iter().map(|one| one.way.calls.load(Ordering::SeqCst)).sum()
+        self.instances.iter().map(|one| one.path.calls.load(Ordering::SeqCst)).sum()
     }
 
     fn follower_of(&self, table: FollowedTable) -> usize {
@@ -152,7 +154,7 @@
     }
 }
 
-/// Starts an instance that follows the tables and does not yet hear the others.
+/// Starts an instance that follows the tables and does not exchange digests yet.
 fn instance(
     number: u64,
     others: impl Iterator<Item = SocketAddr>,
@@ -161,19 +163,20 @@
     let clock = TimerClock::new();
     let gateway = gateway(clock, None, Vec::new(), ample_budget());
     others.for_each(|other| gateway.peers().add(other));
-    let way = Way { table: table.clone(), is_cut: Arc::default(), calls: Arc::default() };
+    let path =
+        TablePath { table: table.clone(), is_partitioned: Arc::default(), calls: Arc::default() };
     let entries = EntryFollower::new(gateway.clone(), clock);
     let configs = ConfigFollower::new(gateway.clone());
     let tasks = vec![
-        tokio::spawn(follow(way.clone(), clock, WAIT, entries)),
-        tokio::spawn(follow(way.clone(), clock, WAIT, configs)),
+        tokio::spawn(follow(path.clone(), clock, WAIT, entries)),
+        tokio::spawn(follow(path.clone(), clock, WAIT, configs)),
     ];
-    Instance { gateway, clock, number, way, tasks }
+    Instance { gateway, clock, number, path, tasks }
 }
 
-/// Symptom: calls to the table grow with instances times changes, and cost a tenth of what is earned.
-/// Sequence: upstreams begin to leave one after the other before many instances.
-/// Cause: each instance asked for each change; now one asks and tells the others.
+/// Guards against calls to the table that grow with instances times changes and cost a tenth of
+/// the revenue. Upstreams begin to leave one after the other. Each instance used to query each
+/// change; now one instance does and sends it to the others.
 #[tokio::test(start_paused = true)]
 async fn verify_one_instance_of_a_zone_follows_the_tables_for_all() {
     const CHANGES: usize = 6;
@@ -192,16 +195,17 @@
     zone.table.put("configs", "current", Some("2"));
     zone.until_all(|one| one.config() == 2).await;
 
-    // Each change costs two calls at most: the one that brings it, and the one that waits meanwhile.
-    // Each instance may once ask by itself, where what it knew before does not reach to the news.
+    // Each change costs at most two calls: the one that returns it and the one that then waits.
+    // Each instance may query the table once by itself, if the update does not follow on the
+    // version that it has.
     let calls = zone.calls() - calls_before;
     assert!(calls <= (CHANGES + 3) * 2 + INSTANCES, "{calls} calls");
 }
 
-/// Requests were sent on to engines up to half a second after their callers had left: they lay before a
-/// link of 10 Mbit/s that their instance filled with what it told for its availability zone, up to 490 kB
-/// a second in the mean of its life, while others of the zone had links of 200. Those with the widest
-/// links act for the others.
+/// Guards against requests that are forwarded up to half a second after their callers have left.
+/// They waited behind a link of 10 Mbit/s that their instance filled with the updates it sent for
+/// its availability zone, on average up to 490 kB a second, while other instances of the zone had
+/// links of 200 Mbit/s. The instances with the widest links must act for the others.
 #[tokio::test]
 async fn verify_an_instance_with_a_wide_link_follows_for_the_others() {
     const WIDE: [usize; 2] = [3, 11];
@@ -215,20 +219,20 @@
     }
 }
 
-/// Symptom: no instance of an availability zone learns of changes any more.
-/// Sequence: the one that follows the tables for all is killed, or is cut off from the table alone, or
-/// from all; then an upstream begins to leave.
-/// Cause: whoever is silent, or says that it does not reach the table, is passed over.
+/// Guards against an availability zone in which no instance receives changes any more. The instance
+/// that follows the tables for all is killed or partitioned from the table; then an upstream begins
+/// to leave. An instance that sends nothing, or reports that it can't reach the table, must be
+/// skipped.
 #[tokio::test]
-async fn verify_another_instance_follows_where_the_one_before_fails() {
-    for failure in ["killed", "cut off from the table"] {
+async fn verify_another_instance_follows_when_the_follower_fails() {
+    for failure in ["killed", "partitioned from the table"] {
         let mut zone = Zone::start().await;
         let at = zone.follower_of(FollowedTable::Entries);
         if failure == "killed" {
             let killed = zone.instances.remove(at);
             killed.tasks.iter().for_each(JoinHandle::abort);
         } else {
-            zone.instances[at].way.is_cut.store(true, Ordering::SeqCst);
+            zone.instances[at].path.is_partitioned.store(true, Ordering::SeqCst);
         }
 
         zone.table.put("upstreams", "a", Some("leaving 2"));
@@ -238,32 +242,32 @@
     }
 }
 
-/// Symptom: an instance sends work to an upstream that began to leave fourteen seconds before.
-/// Sequence: it is cut off from the table and misses what others are told of one change. Later changes
-/// do not follow on what it knows, and the one call that it makes fails.
-/// Cause: whoever has missed something asks the instances that know it.
+/// Guards against sending work to an upstream that began to leave fourteen seconds before. An
+/// instance is partitioned from the table and misses one change that the others receive. Later
+/// changes do not follow on the version it has, and its one call to the table fails. It must
+/// request the missed rows from instances that have them.
 #[tokio::test]
-async fn verify_what_was_missed_is_made_up_for_without_the_table() {
+async fn verify_missed_changes_are_recovered_without_the_table() {
     let zone = Zone::start().await;
     let socket = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let mut behind = instance(99, zone.addresses.iter().copied(), &zone.table);
     until(|| behind.lists("a")).await;
-    behind.way.is_cut.store(true, Ordering::SeqCst);
+    behind.path.is_partitioned.store(true, Ordering::SeqCst);
     zone.table.put("upstreams", "b", Some("ready 1"));
     zone.until_all(|one| one.lists("b")).await;
 
-    behind.hear(socket);
+    behind.join(socket);
     zone.table.put("upstreams", "a", Some("leaving 2"));
 
     until(|| behind.lists("b") && !behind.takes_work("a")).await;
 }
 
-/// Symptom: after an outage all upstreams are taken for gone, and requests are refused for seconds.
-/// Sequence: the table is away for all instances; entries lapse meanwhile; it returns, and the
-/// upstreams take a moment to be listed again.
-/// Cause: instances that are told of rows have not met the outage, and must be told of it too.
+/// Guards against treating all upstreams as gone after an outage, so that requests are refused for
+/// seconds. The table is unreachable for all instances, entries expire meanwhile, and after the
+/// outage the upstreams need a moment to be listed again. Instances that receive rows from a peer
+/// have not seen the outage themselves, so it must be published to them too.
 #[tokio::test]
-async fn verify_entries_that_lapsed_have_time_to_be_back_at_every_instance() {
+async fn verify_expired_entries_have_time_to_return_at_every_instance() {
     let zone = Zone::start().await;
     zone.table.put("upstreams", "b", Some("ready 1"));
     zone.until_all(|one| one.lists("b")).await;
@@ -275,16 +279,15 @@
     zone.table.set_fault(Fault::None);
     zone.until_all(|one| one.lists("c")).await;
 
-    assert!(zone.instances.iter().all(|one| one.lists("a")), "it has time to be back");
+    assert!(zone.instances.iter().all(|one| one.lists("a")), "it has time to return");
     zone.until_all(|one| !one.lists("a")).await;
     assert!(zone.instances.iter().all(|one| one.lists("b")));
 }
 
-/// Symptom: an outage costs as many calls as there are instances, again and again.
-/// Sequence: the table is away for a while.
-/// Cause: one instance at a time tries whether it is back, and no sooner than one alone would.
+/// Guards against an outage in which each instance queries the table repeatedly. One instance at a
+/// time checks whether the table is back, and no sooner than a single instance would.
 #[tokio::test(start_paused = true)]
-async fn verify_few_instances_ask_a_table_that_is_away() {
+async fn verify_few_instances_query_an_unreachable_table() {
     let zone = Zone::start().await;
 
     zone.table.set_fault(Fault::Away);
@@ -295,18 +298,19 @@
 
     zone.until_all(|one| !one.takes_work("a")).await;
     assert!(refused > 0);
-    // Two tables, each tried at once and then each 0.4 s.
+    // Two tables, each queried at once and then every 0.4 s.
     assert!(refused <= 12, "{refused} calls");
 }
 
-/// The table turns away one after the other of those that would read it for their zone, and only the instance that
-/// links the zone with others hears that an upstream leaves.
+/// Guards against a change that reaches only one instance of a zone. The table refuses, one after
+/// the other, the instances that would read it for their zone, and only the instance that links the
+/// zone with others receives the update that an upstream leaves.
 #[test]
-fn verify_a_change_that_was_only_heard_of_is_told_on() {
+fn verify_a_received_version_is_forwarded_before_its_rows() {
     let watch = TableWatch::default();
-    let told = WatchState { newest: 9, ..WatchState::default() };
+    let received = WatchState { newest: 9, ..WatchState::default() };
 
-    watch.merge(([127, 0, 0, 1], 9).into(), &told, Millis(100));
+    watch.merge(([127, 0, 0, 1], 9).into(), &received, Millis(100));
 
     assert_eq!(watch.state(Millis(100)).newest, 9);
     assert_eq!(watch.version().own(), 0);
--- a/crates/anvilhook-gateway/tests/zones.rs
+++ b/crates/anvilhook-gateway/tests/zones.rs
@@ -1,4 +1,4 @@
-//! What instances of several availability zones tell each other, over real datagrams.
+//! Tests of the updates that instances of several availability zones exchange, over real datagrams.
 
 mod support;
 
@@ -29,7 +29,7 @@
 
 const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// The instances of each availability zone; more in all than each tell everybody.
+/// The instances of each availability zone; in total more than a full mesh may have.
 const INSTANCES: usize = 6;
 
 const SHARED: Part = Part { id: 77, tokens: 5_000 };
@@ -56,7 +56,7 @@
         Instance { gateway, zone, clock, task }
     }
 
-    /// Returns what is believed to be read at the engine.
+    /// Returns the estimated prefill work at the engine.
     fn reading_ms(&self) -> f64 {
         self.engine().work(self.clock.now()).reading_ms
     }
@@ -74,7 +74,7 @@
         self.gateway.peers().is_first(self.clock.now())
     }
 
-    /// Has the others told that the engine now keeps a part.
+    /// Records that the engine now caches a part, which is published to the others.
     fn record(&self, part: Part) {
         let config = self.gateway.config().expect("it has one");
         let service = config.service("service").expect("declared");
@@ -96,8 +96,8 @@
     all
 }
 
-/// Returns the digests that have come to a socket.
-fn heard_by(socket: &UdpSocket) -> Vec<Digest> {
+/// Returns the digests that a socket has received.
+fn received_by(socket: &UdpSocket) -> Vec<Digest> {
     let mut buf = [0; 2_000];
     let mut digests = Vec::new();
     while let Ok(len) = socket.try_recv(&mut buf) {
@@ -106,20 +106,21 @@
     digests
 }
 
-/// Symptom: most of the bytes between availability zones are news that instances tell each other.
-/// Sequence: one instance has a prompt read, and learns that the engine is away.
-/// Cause: each told each; now one of each zone tells one of each other zone. All must still learn of it.
+/// Guards against updates between instances that make up most of the bytes between availability
+/// zones. One instance has a prompt read (prefill) and observes that the engine is unavailable.
+/// Each instance used to send to each; now one of each zone sends to one of each other zone, and
+/// every instance must still receive the update.
 #[tokio::test(start_paused = true)]
-async fn verify_news_reach_all_zones_through_one_instance_of_each() {
-    // An instance that hears and never answers, whose zone is one of the others'.
+async fn verify_updates_reach_all_zones_through_one_instance_of_each() {
+    // An instance of one of the zones that receives digests and never sends any.
     let table = MemoryTable::default();
     let listener = socket().await;
     let address = listener.local_addr().expect("an address");
     let peers = Arc::new(Peers::in_zone("zone-c"));
     register(table.clone(), "listener".to_owned(), address, peers).await;
     let all = instances(&table).await;
-    // As long as each knew few others, all told it.
-    heard_by(&listener);
+    // While each instance knew few others, the instances were a full mesh and sent it digests.
+    received_by(&listener);
 
     let engine = Arc::clone(all[0].gateway.fleet().view().get("e0").expect("listed"));
     let held = Held::with_work(engine, 60_000.0, 0.0);
@@ -131,14 +132,15 @@
     until(|| all.iter().all(|one| (50_000.0..=60_000.0).contains(&one.reading_ms()))).await;
     drop(held);
     until(|| all.iter().all(|one| one.reading_ms() == 0.0)).await;
-    let tellers = heard_by(&listener)
+    let own_digests = received_by(&listener)
         .into_iter()
         .filter(|digest| digest.scope == Scope::Instance && !digest.is_partial);
-    let zones: HashSet<u32> = tellers.map(|digest| digest.zone).collect();
-    assert!(zones.len() <= 1, "instances of other zones tell zone-c of their own loads: {zones:?}");
+    let zones: HashSet<u32> = own_digests.map(|digest| digest.zone).collect();
+    assert!(zones.len() <= 1, "instances of several zones send zone-c their own loads: {zones:?}");
 }
 
-/// The end of an engine is heard in one availability zone only, or each of hundreds of instances tells each.
+/// Guards against an engine end that is received in one availability zone only, and against
+/// hundreds of instances that each publish it to each other.
 #[tokio::test(start_paused = true)]
 async fn verify_ends_of_engines_and_their_clearance_reach_all_zones() {
     const REQUEST: Fingerprint = Fingerprint(7);
@@ -149,46 +151,46 @@
     all[0].gateway.suspects().confirm_end(5, all[0].clock.now());
 
     until(|| all.iter().all(|one| suspects(one) == 1)).await;
-    let told: u64 = all
+    let published: u64 = all
         .iter()
         .map(|one| one.gateway.metrics().digest_sections.totals())
         .fold(0, |sum, totals| {
             sum + totals.values().map(|of_scope| of_scope["suspects"]).sum::<u64>()
         });
-    assert!(told < 40 * (INSTANCES * ZONES.len()) as u64 * 6, "{told} bytes");
+    assert!(published < 40 * (INSTANCES * ZONES.len()) as u64 * 6, "{published} bytes");
 
     all[7].gateway.lift(REQUEST);
 
     until(|| all.iter().all(|one| suspects(one) == 0)).await;
 }
 
-/// Symptom: an availability zone learns nothing of the others any more.
-/// Sequence: the instance that tells for a zone ends; later another zone has news.
-/// Cause: the silence of an instance hands its part to the next one.
+/// Guards against an availability zone that receives nothing from the others any more. The zone
+/// leader terminates, and later another zone has an update. When an instance stops sending, the
+/// next one must take over its part.
 #[tokio::test(start_paused = true)]
-async fn verify_another_instance_tells_for_its_zone_where_the_one_before_ends() {
+async fn verify_another_instance_leads_its_zone_when_the_leader_ends() {
     let mut all = instances(&MemoryTable::default()).await;
-    let at = all.iter().position(Instance::is_first).expect("one acts for all");
+    let at = all.iter().position(Instance::is_first).expect("one instance acts for all");
     let ended = all.remove(at);
     ended.task.abort();
 
-    let teller = all.iter().find(|one| one.zone == ended.zone).expect("the zone has others");
-    teller.record(SHARED);
+    let publisher = all.iter().find(|one| one.zone == ended.zone).expect("the zone has others");
+    publisher.record(SHARED);
 
     until(|| all.iter().filter(|one| one.zone == ended.zone).all(|one| one.knows(SHARED))).await;
     until(|| all.iter().filter(|one| one.is_first()).count() == 1).await;
     let again = Part { id: 88, tokens: 5_000 };
-    let teller = all.iter().find(|one| one.zone == ended.zone).expect("the zone has others");
-    teller.record(again);
+    let publisher = all.iter().find(|one| one.zone == ended.zone).expect("the zone has others");
+    publisher.record(again);
     until(|| all.iter().all(|one| one.knows(again))).await;
 }
 
-/// Symptom: the instance that tells for its availability zone fills its link with what engines elsewhere
-/// have read, and the requests that it serves are late.
-/// Sequence: an engine reads many prompts that begin with the same part, within a second.
-/// Cause: each reading was told on to each instance of each other zone, though they believed it already.
+/// Guards against a zone leader that fills its link with cache updates from other zones, so that
+/// the requests it serves are late. An engine reads many prompts that begin with the same part
+/// within a second. Each read used to be forwarded to each instance of each other zone, although
+/// they already had the update.
 #[tokio::test(start_paused = true)]
-async fn verify_a_part_that_is_read_often_is_told_on_once_in_a_while() {
+async fn verify_a_part_that_is_read_often_is_forwarded_only_periodically() {
     const READINGS: usize = 40;
     const MIN_BYTES: usize = 10;
     let all = instances(&MemoryTable::default()).await;
@@ -199,12 +201,12 @@
     }
 
     until(|| all.iter().all(|one| one.knows(SHARED))).await;
-    // The last of them may be on their way to other zones.
+    // The last updates may still be in transit to other zones.
     tokio::time::sleep(Duration::from_millis(800)).await;
     let far_bytes =
         |one: &Instance| one.gateway.metrics().digest_sections.totals()["far"]["cached"];
-    let told_on: u64 = all.iter().map(far_bytes).sum();
-    let tellings = (INSTANCES - 1) * (ZONES.len() - 1);
-    let of_each = (READINGS * tellings * MIN_BYTES) as u64;
-    assert!(told_on < of_each / 10, "{told_on} bytes, {of_each} for all readings");
+    let forwarded: u64 = all.iter().map(far_bytes).sum();
+    let recipients = (INSTANCES - 1) * (ZONES.len() - 1);
+    let of_each = (READINGS * recipients * MIN_BYTES) as u64;
+    assert!(forwarded < of_each / 10, "{forwarded} bytes, {of_each} for all readings");
 }
