--- a/crates/anvilhook-gateway/tests/plain.rs
+++ b/crates/anvilhook-gateway/tests/plain.rs
@@ -255,9 +255,12 @@
 #[tokio::test]
 async fn verify_a_caller_that_leaves_frees_its_upstream() {
     let (front, first, _second) = front_of(Repeats::AtMostOnce, vec![Step::Hang]).await;
-    let mut caller = tokio::net::TcpStream::connect(front.address).await.expect("it listens");
+    let mut caller =
+        tokio::net::TcpStream::connect(front.address).await.expect("the front listens");
     let bytes = support::fronts::request("r1", "", "");
-    tokio::io::AsyncWriteExt::write_all(&mut caller, bytes.as_bytes()).await.expect("it reads");
+    tokio::io::AsyncWriteExt::write_all(&mut caller, bytes.as_bytes())
+        .await
+        .expect("the front reads");
     while first.received().is_empty() {
         tokio::task::yield_now().await;
     }
--- a/crates/anvilhook-gateway/tests/stops.rs
+++ b/crates/anvilhook-gateway/tests/stops.rs
@@ -114,9 +114,9 @@
 async fn verify_a_stream_whose_prefill_outlasts_the_notice_is_refused() {
     for (reading_ms, status) in [(900, 200), (1_100, 503)] {
         let clock = ManualClock::new();
-        let passing = clock.clone();
+        let advancing = clock.clone();
         let reader = Upstream::start(move |_| {
-            passing.advance(Millis(reading_ms));
+            advancing.advance(Millis(reading_ms));
             vec![signed("200 OK", "handle h1")]
         })
         .await;
@@ -145,9 +145,9 @@
     role: Option<Role>,
 ) -> (Front<ManualClock>, Upstream, Upstream) {
     let clock = ManualClock::new();
-    let passing = clock.clone();
+    let advancing = clock.clone();
     let first = Upstream::start(move |_| {
-        passing.advance(Millis(1_100));
+        advancing.advance(Millis(1_100));
         first.clone()
     })
     .await;
@@ -224,11 +224,15 @@
 
 /// Sends bytes and reads to the end of the answer's head. The connection may stay open afterwards.
 async fn head_of(front: &Front<ManualClock>, bytes: &str) -> String {
-    let mut caller = TcpStream::connect(front.address).await.expect("it listens");
-    caller.write_all(bytes.as_bytes()).await.expect("it reads");
+    let mut caller = TcpStream::connect(front.address).await.expect("the front listens");
+    caller.write_all(bytes.as_bytes()).await.expect("the front reads");
     let mut buf = Vec::new();
     while !buf.windows(4).any(|window| window == b"\r\n\r\n") {
-        assert_ne!(caller.read_buf(&mut buf).await.expect("it answers"), 0, "a head comes");
+        assert_ne!(
+            caller.read_buf(&mut buf).await.expect("the front answers"),
+            0,
+            "the connection closed before the end of the head"
+        );
     }
     String::from_utf8_lossy(&buf).into_owned()
 }
@@ -298,8 +302,8 @@
     let entries = vec![entry("u", upstream.address.port())];
     let front = front_of(&clock, Repeats::AtMostOnce, false, entries).await;
     let half = request("r1", "", "whole").replace("whole", "ha");
-    let mut caller = TcpStream::connect(front.address).await.expect("it listens");
-    caller.write_all(half.as_bytes()).await.expect("it reads");
+    let mut caller = TcpStream::connect(front.address).await.expect("the front listens");
+    caller.write_all(half.as_bytes()).await.expect("the front reads");
     while front.gateway.in_flight() == 0 {
         tokio::task::yield_now().await;
     }
@@ -308,7 +312,7 @@
     front.gateway.end();
 
     let mut text = String::new();
-    caller.read_to_string(&mut text).await.expect("it answers and closes");
+    caller.read_to_string(&mut text).await.expect("the front answers and closes");
     assert!(text.contains(" 503 ") && text.to_lowercase().contains("retry-after"), "{text}");
     assert!(upstream.received().is_empty());
 }
@@ -371,7 +375,7 @@
         let mut body = front.gateway.handle(received("r1", Body::empty())).await.into_body();
         let mut written = Vec::new();
         while let Some(frame) = body.frame().await {
-            written.push(frame.expect("it is whole").into_data());
+            written.push(frame.expect("the body is complete").into_data());
         }
 
         drop(body);
@@ -410,7 +414,7 @@
         let front = front_of(&clock, Repeats::Stream { resumable: true }, false, entries).await;
         front.gateway.begin_stop(stop_in(&clock, LIMIT, true));
         let mut body = front.gateway.handle(received("r1", Body::empty())).await.into_body();
-        let first = body.frame().await.expect("it begins").expect("an event");
+        let first = body.frame().await.expect("the stream begins").expect("an event");
 
         clock.advance(LIMIT);
         let mut forwarded = 0;
@@ -448,7 +452,7 @@
     let (mut head, body) = req.into_parts();
     head.headers.insert("t-tokens", HeaderValue::from_static("400"));
     let mut body = gateway.handle(Request::from_parts(head, body)).await.into_body();
-    let first = body.frame().await.expect("it begins").expect("an event");
+    let first = body.frame().await.expect("the stream begins").expect("an event");
     let ends_at = clock.now() + LIMIT;
     tokio::time::pause();
 
@@ -470,7 +474,7 @@
     let entries = vec![entry("first", first.address.port()), far];
     let front = front_of(&clock, Repeats::Stream { resumable: true }, false, entries).await;
     let mut body = front.gateway.handle(received("r1", Body::empty())).await.into_body();
-    let begun = body.frame().await.expect("it begins").expect("an event");
+    let begun = body.frame().await.expect("the stream begins").expect("an event");
 
     front.gateway.begin_stop(stop_in(&clock, LIMIT, true));
     front.gateway.end();
--- a/crates/anvilhook-gateway/tests/streams.rs
+++ b/crates/anvilhook-gateway/tests/streams.rs
@@ -547,9 +547,9 @@
     {
         let clock = ManualClock::new();
         let config = impatient(&config(ONCE, 2, true), Millis(1_000));
-        let passing = clock.clone();
+        let advancing = clock.clone();
         let first = Upstream::start(move |_| {
-            passing.advance(Millis(late_ms));
+            advancing.advance(Millis(late_ms));
             let answer = if stage == "read" { signed("200 OK", "handle h1") } else { refusal() };
             vec![answer]
         })
@@ -578,7 +578,7 @@
 
     let short = tokio::select! {
         answer = front.post_unhurried("short", PROMPT, "") => answer,
-        answer = &mut long => panic!("the long one came first: {answer:?}"),
+        answer = &mut long => panic!("the long one completed first: {answer:?}"),
     };
 
     assert_eq!((short.status, reader.received().len()), (200, 1));
