--- a/crates/anvilhook-gateway/src/budgets.rs
+++ b/crates/anvilhook-gateway/src/budgets.rs
@@ -1,4 +1,5 @@
-//! Limits extra arrivals: the arrivals of a request at upstreams beyond its first one.
+//! The retry budget: limits extra arrivals, which are the arrivals of a request at upstreams beyond its first
+//! one.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -86,7 +87,7 @@
         })
     }
 
-    /// Returns the newest extra arrival to the budget because it did not arrive.
+    /// Refunds the newest extra arrival, because it reached no upstream.
     pub fn give_back(&self, service: &Arc<str>, now: Millis) {
         self.with(service, now, |tally| tally.extras.pop_back());
     }
--- a/crates/anvilhook-gateway/src/caches.rs
+++ b/crates/anvilhook-gateway/src/caches.rs
@@ -74,8 +74,9 @@
         }
     }
 
-    /// Records the same for a prompt that another instance published: the parts that other requests may
-    /// share, and the number of its own tokens. Own tokens displace other parts and are not used again.
+    /// Records that an engine has read a prompt that another instance published: the parts that other
+    /// requests may share, and the number of the prompt's own tokens. Own tokens displace other parts and are
+    /// not used again.
     pub fn record_reported(
         &self,
         engine: &Arc<str>,
@@ -90,7 +91,7 @@
             cache.touch(*part, false, usable);
         }
         if own_tokens > 0 {
-            // Such an id, which only counts uses down, equals that of a prompt's part only by chance.
+            // Such ids count down from the maximum, so one equals the id of a prompt's part only by chance.
             let unnamed = Part { id: u64::MAX - cache.uses, tokens: own_tokens };
             cache.touch(unnamed, true, usable);
         }
--- a/crates/anvilhook-gateway/src/clouds.rs
+++ b/crates/anvilhook-gateway/src/clouds.rs
@@ -59,7 +59,8 @@
     }
 }
 
-/// `Cloud` makes calls to the platform's API. Every call has a timeout, and none makes decisions.
+/// `Cloud` makes calls to the platform's API. Every call has a timeout. Implementations make no
+/// decisions.
 pub trait Cloud: Clone + Send + Sync + 'static {
     /// Reports the usage of a window.
     fn report_usage(
--- a/crates/anvilhook-gateway/src/duties/mod.rs
+++ b/crates/anvilhook-gateway/src/duties/mod.rs
@@ -33,7 +33,8 @@
 /// it have been received, and have been resent to instances that missed them.
 const SETTLE_TIME: Millis = Millis(2_400);
 
-/// How much later each next instance in rank does the work that those before it have not done.
+/// How much longer an instance waits than the one ranked before it, before it does pending work that the
+/// others have not done.
 const RANK_DELAY: Millis = Millis(1_600);
 
 /// The maximum time of a call. When a call is sent, the lease must be valid for at least this long.
@@ -48,8 +49,8 @@
     pub usage_due: Option<Millis>,
     /// The limits of the fleet sizes that are ordered; `None` if no engines are ordered.
     pub sizes: Option<SizeOptions>,
-    /// How much later a call of an earlier holder may still be carried out where its fencing token is not
-    /// checked.
+    /// How long after the end of its lease a call of an earlier holder may still be carried out, by systems
+    /// that don't check its fencing token.
     pub late_calls: Millis,
 }
 
@@ -191,7 +192,7 @@
         }
     }
 
-    /// Returns the lease if it is valid for at least as long as a call takes.
+    /// Returns the lease if it is valid for at least as long as a call takes, or can be acquired.
     async fn hold(&mut self) -> Option<Lease> {
         let lease = self.lease.hold_for(CALL_TIME).await?;
         self.gateway.metrics().record_lease(lease.token);
--- a/crates/anvilhook-gateway/src/duties/sizes.rs
+++ b/crates/anvilhook-gateway/src/duties/sizes.rs
@@ -19,7 +19,7 @@
 use crate::tables::{Table, TableError};
 use crate::wires::Wire;
 
-/// The maximum age of the list of upstreams from which orders are decided.
+/// The maximum age of the upstream table from which orders are decided.
 const MAX_LIST_AGE: Millis = Millis(6_000);
 
 /// The interval at which the number of engines and their use are logged.
@@ -31,7 +31,7 @@
 /// `UsualSizes` stores how many engines each service had before any were ordered.
 ///
 /// A later holder of the lease also sees the engines that were ordered. Without the stored number it would
-/// consider them as usual.
+/// count them among the usual ones.
 pub(super) struct UsualSizes<T> {
     record: Record<T, BTreeMap<Arc<str>, u32>>,
     known: HashSet<Arc<str>>,
@@ -74,21 +74,21 @@
 impl<W: Wire, T: Table, C: Clock, P: Cloud> DutyRunner<W, T, C, P> {
     /// Orders engines where there are too few or too many, if this instance is responsible for it.
     pub(super) async fn size_fleets(&mut self, rank: usize, options: SizeOptions) {
-        let due = self.due_sizes(options);
+        let pending = self.pending_orders(options);
         // Instances of later rank update their planners too, but act only while they hold the lease.
         if rank > 0 && !self.lease.is_held() {
             return;
         }
-        for due in due {
-            if !self.knows_usual_size(&due.service).await {
+        for order in pending {
+            if !self.knows_usual_size(&order.service).await {
                 return;
             }
-            self.order_engines(due).await;
+            self.order_engines(order).await;
         }
     }
 
-    /// Returns whether the planner uses the usual number of engines that the first holder stored. If not, it
-    /// is set to that number, if the table answers, and uses it from the next check on.
+    /// Returns whether the planner already uses the usual number of engines that the first holder stored. If
+    /// it does not, reads that number from the table, and the planner uses it from the next check on.
     async fn knows_usual_size(&mut self, service: &Arc<str>) -> bool {
         if self.usual_sizes.is_known(service) {
             return true;
@@ -102,7 +102,7 @@
         false
     }
 
-    fn due_sizes(&mut self, options: SizeOptions) -> Vec<PendingOrder> {
+    fn pending_orders(&mut self, options: SizeOptions) -> Vec<PendingOrder> {
         let Some(config) = self.gateway.config() else { return Vec::new() };
         let now = self.clock.now();
         let is_logged = self.logged_at.is_none_or(|at| at + LOG_INTERVAL <= now);
@@ -111,7 +111,7 @@
         }
         let is_stale = list_age(&self.gateway, now).is_none_or(|age| age > MAX_LIST_AGE);
         let view = self.gateway.fleet().view();
-        let mut due = Vec::new();
+        let mut pending = Vec::new();
         for service in config.services() {
             let Some(spec) = &service.scaling else { continue };
             let listed = view.of_service(&service.name);
@@ -137,16 +137,16 @@
                     EngineKind::Reclaimable => zone.reclaimable,
                 });
                 let (service, spec) = (Arc::clone(&service.name), spec.clone());
-                due.push(PendingOrder { service, spec, size, has });
+                pending.push(PendingOrder { service, spec, size, has });
             }
         }
-        due
+        pending
     }
 
-    async fn order_engines(&mut self, due: PendingOrder) {
+    async fn order_engines(&mut self, pending: PendingOrder) {
         let Some(lease) = self.hold().await else { return };
         let authority = Authority { holder: self.lease.holder(), token: lease.token };
-        let order = FleetOrder { service: due.service, size: due.size };
+        let order = FleetOrder { service: pending.service, size: pending.size };
         let answer = self.cloud.size_fleet(authority, &order).await;
         let FleetOrder { service, size } = order;
         let now = self.clock.now();
@@ -157,12 +157,12 @@
             CloudAnswer::Conflict => SizeAnswer::Unavailable,
             CloudAnswer::Busy | CloudAnswer::Wrong | CloudAnswer::NoAnswer => SizeAnswer::Unknown,
         };
-        planner.record_answer(&due.spec, &size, due.has, outcome, now);
+        planner.record_answer(&pending.spec, &size, pending.has, outcome, now);
         emit(&Event::FleetOrdered {
             service: &service,
             zone: &size.zone,
             reclaimable: size.kind == EngineKind::Reclaimable,
-            has: due.has,
+            has: pending.has,
             desired: size.desired,
             reason: size.reason,
             list_age_ms: list_age(&self.gateway, now).map(|age| age.0),
--- a/crates/anvilhook-gateway/src/entries.rs
+++ b/crates/anvilhook-gateway/src/entries.rs
@@ -1,4 +1,5 @@
-//! Tracks the upstreams' entries through lapses and old reports.
+//! Stores the upstreams' entries. Entries that lapse during an outage of the table get a grace
+//! period, and reports older than the stored ones are ignored.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -11,8 +12,8 @@
 const LAPSE_GRACE: Millis = Millis(2_200);
 
 /// How long after the table was last known to be unreachable a lapsed entry may take to return. The
-/// end of an outage is noticed a second late if a call was sent just before it, and an upstream
-/// that left meanwhile would get work for that much longer.
+/// end of an outage is noticed a second late if a call was sent just before that end, and an
+/// upstream that left meanwhile would get work for that much longer.
 const LAPSE_BOUND: Millis = Millis(2_700);
 
 /// `Tombstone` is the record of a removed entry.
@@ -26,7 +27,8 @@
 /// How long a removed entry's tombstone is retained.
 const TOMBSTONE_AGE: Millis = Millis::from_secs(120);
 
-/// `EntryRegistry` stores the upstreams' entries through lapses and old reports.
+/// `EntryRegistry` stores the upstreams' entries, including those that have lapsed and may still
+/// return.
 #[derive(Debug, Default)]
 pub struct EntryRegistry {
     entries: HashMap<Arc<str>, Entry>,
@@ -80,7 +82,8 @@
         self.entries.insert(id, entry.clone()) != Some(entry)
     }
 
-    /// Removes an entry. Returns whether the current entries change.
+    /// Removes an entry. In the grace period, an entry that is not leaving counts as lapsed
+    /// instead. Returns whether the current entries change.
     pub fn remove(&mut self, id: &str, now: Millis) -> bool {
         let Some((id, entry)) = self.entries.get_key_value(id) else { return false };
         let id = Arc::clone(id);
--- a/crates/anvilhook-gateway/src/events.rs
+++ b/crates/anvilhook-gateway/src/events.rs
@@ -356,7 +356,8 @@
         /// The age of the newest update from a peer, in milliseconds.
         peers_age_ms: Option<u64>,
     },
-    /// A stopping instance has accepted a request, or refused it because its end could interrupt it.
+    /// A stopping instance has accepted a request, or refused it because the instance's end could interrupt
+    /// the request.
     StopWeighed {
         /// The request.
         request: &'a str,
--- a/crates/anvilhook-gateway/src/fleets.rs
+++ b/crates/anvilhook-gateway/src/fleets.rs
@@ -16,8 +16,8 @@
 pub struct Entry {
     /// The upstream's id. A restarted upstream may have the same id.
     pub id: Arc<str>,
-    /// When this start of the upstream was, in Unix milliseconds of its own clock, if it reports
-    /// so. A later start with the same id retains nothing of the earlier one's state.
+    /// When the upstream was started, in Unix milliseconds of its own clock, if it reports that. A
+    /// later start with the same id retains nothing of the earlier one's state.
     pub born: Option<u64>,
     /// Its service.
     pub service: Arc<str>,
@@ -33,7 +33,7 @@
     pub reclaimable: bool,
     /// Whether it is leaving.
     pub draining: bool,
-    /// The number of the upstream's report; it grows from one start to the next.
+    /// The number of the upstream's report, which grows with each report of one start.
     pub sequence: u64,
 }
 
--- a/crates/anvilhook-gateway/src/followers/following.rs
+++ b/crates/anvilhook-gateway/src/followers/following.rs
@@ -10,13 +10,14 @@
 use crate::peers::{FollowedTable, Peers, RowChanges, TableWatch};
 use crate::tables::{Rows, Table, TableError};
 
-/// How long a call waits while the table is unreachable. A call sent during the outage gets no
-/// response even after its end, so with a wait, changes made meanwhile would be applied late by the
-/// whole of it.
+/// How long a call waits for changes while the table is unreachable. A call sent during an outage
+/// gets no response even after the outage has ended. If it waited, changes made meanwhile would be
+/// applied later by the whole wait.
 const NO_WAIT: Millis = Millis::ZERO;
 
-/// How long after a peer has published a change an instance waits to receive it by its own call, or
-/// from the instance that follows the table for it, which may be gathering changes at that moment.
+/// How long an instance waits for a change that a peer has announced. The change may still arrive
+/// by the instance's own call, or from the instance that follows the table for it, which may be
+/// gathering further changes at that moment.
 const GAP_WAIT: Millis = Millis(400);
 
 /// How often an instance that has missed a change requests it from the peer that published it
@@ -49,7 +50,8 @@
 /// `Outage` is a period in which the table can't be reached.
 struct Outage {
     began_at: Millis,
-    /// When the last call that got no response was sent. It is no evidence for any later time.
+    /// When the last call that got no response was sent. The call shows nothing about any later
+    /// time.
     last_unreachable_at: Millis,
 }
 
@@ -133,11 +135,12 @@
             }
         }
         if !self.was_own {
-            // Otherwise many instances would each try at once where the previous ones have failed.
+            // Otherwise many instances, one after the other, would at once call a table that the
+            // previous ones have just failed to reach.
             let away_for = self.clock.now() - self.watch().away_at();
             tokio::time::sleep((LONGEST_PAUSE - away_for).as_duration()).await;
         }
-        // A waiting call would hide for as long that the connection to the table is broken.
+        // A call that waits for changes would hide a broken connection for as long as it waits.
         let is_connection_healthy = self.was_own && self.outage.is_none();
         self.was_own = true;
         if is_connection_healthy { self.next_change().await } else { self.query_table().await }
@@ -148,8 +151,8 @@
         self.called_at = self.clock.now();
         let announced = self.watch().version().announced();
         let rows = self.table.changes(self.follower.table(), self.known(), NO_WAIT).await?;
-        // Versions after the returned rows are still to be queried, but not one that no instance
-        // can read.
+        // An announced version after the returned rows must still be queried. If no rows are
+        // returned, no instance can read that version, and it counts as queried.
         let queried = if rows.rows.is_empty() { announced } else { announced.min(rows.version) };
         self.watch().version().record_queried(queried);
         Ok(Read::Changes(rows))
--- a/crates/anvilhook-gateway/src/loads.rs
+++ b/crates/anvilhook-gateway/src/loads.rs
@@ -66,7 +66,7 @@
 pub struct RoleChange {
     /// The role that the engine switches to.
     pub role: Role,
-    /// When the change is assumed to be over if the instance list never shows it.
+    /// When the change is assumed to be over if the upstream table never shows it.
     pub until: Millis,
     /// Whether this instance has given the order.
     pub is_own: bool,
@@ -74,8 +74,8 @@
 
 /// `RoleObservation` is the role that an engine's own answers have shown.
 ///
-/// While the table is unreachable, the upstream list still shows the role before a change. Requests placed
-/// by that role go to engines that refuse them, and use up the retry budget.
+/// While the table is unreachable, its rows still show the role before a change. Requests placed by that role
+/// go to engines that refuse them, and use up the retry budget.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct RoleObservation {
     /// The role.
@@ -223,7 +223,7 @@
         self.leaving_at.compare_exchange(0, at, Ordering::AcqRel, Ordering::Acquire).is_ok()
     }
 
-    /// Returns whether the upstream is known to be leaving, regardless of the list.
+    /// Returns whether the upstream is known to be leaving, regardless of its entry.
     pub fn says_leaving(&self) -> bool {
         self.leaving_at.load(Ordering::Acquire) > 0
     }
@@ -257,7 +257,8 @@
         self.unavailable_until.fetch_max(until.0, Ordering::AcqRel);
     }
 
-    /// Records the same for a change that this instance ordered or that the upstream itself reported.
+    /// Records that the upstream accepts no work until a time, because of a change that this instance ordered
+    /// or that the upstream itself reported.
     pub fn mark_own_away(&self, until: Millis) {
         self.mark_away(until);
         self.own_unavailable_until.fetch_max(until.0, Ordering::AcqRel);
@@ -284,7 +285,7 @@
         }
     }
 
-    /// Returns the engine's change of role that is in progress. `listed` is the role that the list shows.
+    /// Returns the engine's change of role that is in progress. `listed` is the role that its entry shows.
     pub fn role_change(&self, now: Millis, listed: Option<Role>) -> Option<RoleChange> {
         let known = *self.role_change.lock().expect("no panic under this lock");
         known.filter(|change| change.until > now && Some(change.role) != listed)
--- a/crates/anvilhook-gateway/src/peers/cache_updates.rs
+++ b/crates/anvilhook-gateway/src/peers/cache_updates.rs
@@ -15,8 +15,8 @@
 /// displace other parts.
 const OWN_TOKENS_INTERVAL: Millis = Millis(1_000);
 
-/// The maximum bytes in a datagram of an engine with its sum, of one part, and of all engines
-/// together, which leaves room for the rest of the digest.
+/// The maximum sizes in a datagram, in bytes: of an engine with its sum of tokens, of one part, and
+/// of all engines with their parts. The last one leaves room for the rest of the digest.
 const ENGINE_BYTES: usize = 12;
 const PART_BYTES: usize = 15;
 const DIGEST_BYTES: usize = 1_100;
--- a/crates/anvilhook-gateway/src/peers/changes.rs
+++ b/crates/anvilhook-gateway/src/peers/changes.rs
@@ -47,8 +47,8 @@
         (published, is_delta)
     }
 
-    /// Records that all loads were sent to only some peers. These must also receive the end of
-    /// each.
+    /// Records that all loads were sent to only some peers. These peers must also learn when the
+    /// work at each of the engines ends.
     pub fn record_partial_publication(&mut self, loads: &[EngineLoad]) {
         self.partially_published.extend(loads.iter().map(|load| load.engine));
     }
@@ -65,8 +65,8 @@
     }
 }
 
-/// Returns whether a load differs from what peers expect. They let published work decay by
-/// themselves.
+/// Returns whether a load differs from what peers expect. A decrease of the work is not published:
+/// peers reduce published reading work themselves as time passes.
 fn has_changed(before: &EngineLoad, now: &EngineLoad) -> bool {
     now.in_flight != before.in_flight
         || now.reading_ms > before.reading_ms
--- a/crates/anvilhook-gateway/src/peers/digests.rs
+++ b/crates/anvilhook-gateway/src/peers/digests.rs
@@ -159,7 +159,7 @@
     let mut digest = Digest::from(gateway.peers(), now);
     for upstream in view.all() {
         let (engine, work) = (upstream.digest, upstream.state.own_work());
-        // A plain upstream reports in its own answers what it has in flight for other instances.
+        // A plain upstream itself reports, in its answers, what it has in flight for all instances.
         if work.in_flight > 0 && upstream.entry.role.is_some() {
             digest.loads.push(EngineLoad::of(engine, &work));
         }
--- a/crates/anvilhook-gateway/src/peers/members.rs
+++ b/crates/anvilhook-gateway/src/peers/members.rs
@@ -198,7 +198,7 @@
     }
 
     /// Requests an immediate digest to the availability zone because this instance has taken a slot
-    /// of an engine that is nearly full.
+    /// of an engine that is more than half full.
     ///
     /// Otherwise several instances would send their next streams to the same last slot, and all but
     /// one of them would wait there while other engines have free slots.
--- a/crates/anvilhook-gateway/src/peers/publishing.rs
+++ b/crates/anvilhook-gateway/src/peers/publishing.rs
@@ -70,7 +70,8 @@
         }
     }
 
-    /// Returns whether a digest must go to all recipients, and records it as published if so.
+    /// Returns whether a digest must go to more peers than a random sample, and records it as
+    /// published if so.
     ///
     /// Each cached prompt is published only once, so a peer that is left out would have it read
     /// again.
--- a/crates/anvilhook-gateway/src/peers/seeding.rs
+++ b/crates/anvilhook-gateway/src/peers/seeding.rs
@@ -25,8 +25,8 @@
 /// The same in zoned mode, where the zone leaders must first receive each other's digests.
 const ZONED_SEED_DELAY: Duration = Duration::from_millis(900);
 
-/// Sends a new instance the estimated contents of the caches. Otherwise it would have each shared
-/// part that it meets read again.
+/// Sends a new instance the estimated contents of the caches. Otherwise it would have engines read
+/// again each shared part that its requests contain.
 pub(super) fn send_caches<W: Wire, C: Clock>(
     socket: &UdpSocket,
     to: SocketAddr,
--- a/crates/anvilhook-gateway/src/peers/versions.rs
+++ b/crates/anvilhook-gateway/src/peers/versions.rs
@@ -57,7 +57,8 @@
     }
 
     /// Returns whether the newest published version is newer than `followed` and the table has not
-    /// been queried for it. Otherwise a version that no instance can read would be queried forever.
+    /// been queried for it. Without the second condition, a version that no instance can read would
+    /// be queried forever.
     fn is_newer_than(&self, followed: u64) -> bool {
         let announced = self.announced();
         announced > followed && announced > self.queried.load(Ordering::Acquire)
--- a/crates/anvilhook-gateway/src/peers/watches.rs
+++ b/crates/anvilhook-gateway/src/peers/watches.rs
@@ -19,8 +19,8 @@
 /// delayed, and then it queries the table.
 const MAX_WAITING: usize = 32;
 
-/// How long after the table was last known to be unreachable this is published. Entries that lapsed
-/// in it have a good two seconds to return.
+/// How long an outage of the table is published after the table was last known to be unreachable.
+/// Entries that lapsed during the outage have a good two seconds to return.
 const AWAY_PUBLISH_TIME: Millis = Millis(3_000);
 
 /// `WatchState` is the state of a watch over a table, as published to peers.
--- a/crates/anvilhook-gateway/src/peers/zones.rs
+++ b/crates/anvilhook-gateway/src/peers/zones.rs
@@ -27,8 +27,8 @@
 /// requests by, and more frequent ones use bandwidth at each tick.
 const ZONE_TICKS: u32 = 2;
 
-/// The maximum number of rounds that are skipped while there are no updates. A zone's leader must
-/// be known to run.
+/// The maximum number of rounds that are skipped while there are no updates. Other zones must know
+/// that the leader runs.
 const MAX_SKIPPED_ROUNDS: u32 = 4;
 
 /// The number of rounds between publications of usage.
@@ -110,8 +110,8 @@
         self.notices.iter().map(|(received_at, notice)| notice.after(now - *received_at)).collect()
     }
 
-    /// Takes the cached prompts, as the digests that they need, and returns these and the digest of
-    /// everything else, which includes `loads`.
+    /// Takes the cached prompts. Returns the digests that carry them, and one digest with
+    /// everything else, including `loads`.
     fn digests(
         &mut self,
         scope: Scope,
--- a/crates/anvilhook-gateway/src/placements.rs
+++ b/crates/anvilhook-gateway/src/placements.rs
@@ -130,7 +130,8 @@
     pub fetching_ms: f64,
     /// The predicted time to the first token if it also reads the prompt, in milliseconds.
     pub direct_ms: f64,
-    /// The cost of that, in milliseconds, including the delay of the engine's other streams.
+    /// The cost of reading the prompt there too, in milliseconds, including the delay of the engine's other
+    /// streams.
     pub direct_cost_ms: f64,
     /// The predicted time to read the prompt there, in milliseconds of the engine's work.
     pub reading_ms: f64,
--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -28,7 +28,8 @@
 /// The maximum size of an answer that is collected before it is forwarded, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How long an engine is not used after it refused a request for the wrong stage.
+/// How long an upstream is not used after it refused a request although less than half of its slots were taken,
+/// or refused a plain request as misdirected.
 const WRONG_STAGE_PAUSE: Millis = Millis(300);
 
 /// How long no instance uses an upstream whose host refuses connections. An upstream that restarts is
@@ -429,8 +430,8 @@
     }
 
     /// Admits an attempt. Returns how it counts against the budget, or `None` if the budget is used up.
-    /// `has_sent` is whether the request has made a call of this kind before: one that reads its prompt, or
-    /// one that answers it.
+    /// `has_sent` is whether the request has made a call of this kind before (one that reads its prompt, or
+    /// one that answers it), and is set.
     ///
     /// Every arrival after the first counts against the budget, even if the upstream refuses it; otherwise
     /// retries would multiply an overload.
--- a/crates/anvilhook-gateway/src/relay/mod.rs
+++ b/crates/anvilhook-gateway/src/relay/mod.rs
@@ -52,7 +52,7 @@
 /// The retry time for a caller whose request timed out before it ran.
 const TIMEOUT_PAUSE: Millis = Millis(100);
 
-/// The name under which metrics show the age of the state received from peers.
+/// The label of the peers as a source of cached state in metrics.
 pub(crate) const PEER_SOURCE: &str = "peers";
 
 /// The maximum number of upstreams that one log line names.
--- a/crates/anvilhook-gateway/src/relay/reading.rs
+++ b/crates/anvilhook-gateway/src/relay/reading.rs
@@ -21,8 +21,7 @@
 use crate::speeds::EngineWork;
 use crate::wires::Wire;
 
-/// The minimum timeout for reading a prompt, and the part of the timeout that grows with the predicted time
-/// as a multiple of it.
+/// The timeout for reading a prompt: a minimum, to which a multiple of the predicted time is added.
 const MIN_READING_TIMEOUT: Millis = Millis(700);
 const READING_TIMEOUT_FACTOR: f64 = 4.0;
 
--- a/crates/anvilhook-gateway/src/roles/mod.rs
+++ b/crates/anvilhook-gateway/src/roles/mod.rs
@@ -46,7 +46,7 @@
 /// reaches instances of all availability zones, and most requests that they sent earlier begin to run.
 const DRAIN_TIME: Duration = Duration::from_millis(300);
 
-/// How long such a notice is valid. An order that is not accepted has failed by then.
+/// How long a notice of a coming order is valid. An order that is not accepted has failed by then.
 const NOTICE_TIME: Millis = Millis(2_500);
 
 /// `RoleOptions` configures how engines are split.
--- a/crates/anvilhook-gateway/src/roles/orders.rs
+++ b/crates/anvilhook-gateway/src/roles/orders.rs
@@ -62,7 +62,7 @@
     let wire = gateway.wire();
     let report = gateway.own_call(upstream, &wire.report()).await?;
     let report = read_report(gateway, report.status, &report.body)?;
-    // An engine that has restarted, which the list does not show yet, may have another role.
+    // An engine that has restarted, which its entry does not show yet, may have another role.
     let is_other = upstream.entry.has_other_start(report.born);
     // Its report, or another answer since it was chosen, may have reported that it leaves.
     if is_other
@@ -100,7 +100,7 @@
 
 /// Polls an engine that has accepted an order until it has its new role, and notifies the other instances.
 ///
-/// The list shows the change up to two seconds later, and not at all while the table is unreachable. An
+/// The upstream table shows the change up to two seconds later, and not at all while it is unreachable. An
 /// engine that accepts work again would be idle until then.
 pub(super) async fn await_role<W: Wire, C: Clock>(
     gateway: Gateway<W, C>,
--- a/crates/anvilhook-gateway/src/suspects.rs
+++ b/crates/anvilhook-gateway/src/suspects.rs
@@ -94,7 +94,7 @@
 pub enum Interruption {
     /// The connection broke.
     Broken,
-    /// The engine sent nothing any more.
+    /// The engine stopped sending.
     Silent,
 }
 
--- a/crates/anvilhook-gateway/src/usage.rs
+++ b/crates/anvilhook-gateway/src/usage.rs
@@ -49,8 +49,8 @@
 }
 
 impl Usage {
-    /// Creates counts by windows of the length `window`, at the time of day `time`. Without a length, nothing
-    /// is counted.
+    /// Creates empty counts by windows of the length `window`; `time` is the wall-clock time at `now`.
+    /// Without a length, nothing is counted.
     pub fn new(window: Option<Millis>, time: WallTime, now: Millis) -> Self {
         let state = State {
             counters: UsageCounters::new(),
@@ -71,7 +71,7 @@
         self.windows
     }
 
-    /// Returns the time of day.
+    /// Returns the wall-clock time, as the median of all instances' clocks.
     pub fn time(&self, now: Millis) -> WallTime {
         self.state().clocks.time(now)
     }
@@ -126,7 +126,7 @@
         (!changes.is_empty()).then(|| state.update(changes, now))
     }
 
-    /// Marks all own counts to be sent again, for an instance that is new.
+    /// Marks all own counts to be sent again, because a new instance is to receive them.
     pub(crate) fn resend_all(&self) {
         self.state().counters.resend(None);
     }
