--- a/crates/anvilhook-gateway/src/fleets.rs
+++ b/crates/anvilhook-gateway/src/fleets.rs
@@ -62,7 +62,7 @@
 
     /// Returns the hash of the id and the start, by which instances identify the upstream among
     /// themselves. Updates about an earlier start are not applied to a later one.
-    pub fn digest(&self) -> u32 {
+    pub fn hash(&self) -> u32 {
         hash_of(&(&*self.id, self.born)) as u32
     }
 }
@@ -73,7 +73,7 @@
     /// Its listed entry.
     pub entry: Entry,
     /// The hash of its id and start, by which instances identify it among themselves.
-    pub digest: u32,
+    pub hash: u32,
     /// What this instance has observed.
     pub state: Arc<UpstreamState>,
 }
@@ -105,7 +105,7 @@
 pub struct FleetView {
     by_id: HashMap<Arc<str>, Arc<Upstream>>,
     by_service: HashMap<Arc<str>, Vec<Arc<Upstream>>>,
-    by_digest: HashMap<u32, Arc<Upstream>>,
+    by_hash: HashMap<u32, Arc<Upstream>>,
     /// Upstreams that are no longer listed, but whose state outlives a lapse of their entries; the
     /// latest is last.
     former: Vec<Arc<Upstream>>,
@@ -116,8 +116,8 @@
 
 impl FleetView {
     /// Returns an upstream by the hash of its id and start.
-    pub fn by_digest(&self, digest: u32) -> Option<&Arc<Upstream>> {
-        self.by_digest.get(&digest)
+    pub fn by_hash(&self, hash: u32) -> Option<&Arc<Upstream>> {
+        self.by_hash.get(&hash)
     }
 
     /// Returns the upstreams of a service.
@@ -143,7 +143,7 @@
     fn former_after(&self, next: &FleetView) -> Vec<Arc<Upstream>> {
         let gone = self.by_id.values().filter(|one| one.state.is_lasting());
         let all = self.former.iter().chain(gone);
-        let unlisted = all.filter(|one| !next.by_digest.contains_key(&one.digest));
+        let unlisted = all.filter(|one| !next.by_hash.contains_key(&one.hash));
         let former: Vec<_> = unlisted.cloned().collect();
         let dropped = former.len().saturating_sub(MAX_FORMER);
         former.into_iter().skip(dropped).collect()
@@ -187,10 +187,10 @@
         for entry in entries {
             let id = Arc::clone(&entry.id);
             let state = earlier.state_of(&entry).unwrap_or_else(|| Arc::new(UpstreamState::new()));
-            let upstream = Arc::new(Upstream { digest: entry.digest(), entry, state });
+            let upstream = Arc::new(Upstream { hash: entry.hash(), entry, state });
             let service = Arc::clone(&upstream.entry.service);
             view.by_service.entry(service).or_default().push(Arc::clone(&upstream));
-            view.by_digest.insert(upstream.digest, Arc::clone(&upstream));
+            view.by_hash.insert(upstream.hash, Arc::clone(&upstream));
             view.by_id.insert(id, upstream);
         }
         view.former = earlier.former_after(&view);
--- a/crates/anvilhook-gateway/src/peers/digests.rs
+++ b/crates/anvilhook-gateway/src/peers/digests.rs
@@ -158,7 +158,7 @@
     let view = gateway.fleet().view();
     let mut digest = Digest::from(gateway.peers(), now);
     for upstream in view.all() {
-        let (engine, work) = (upstream.digest, upstream.state.own_work());
+        let (engine, work) = (upstream.hash, upstream.state.own_work());
         // A plain upstream itself reports, in its answers, what it has in flight for all instances.
         if work.in_flight > 0 && upstream.entry.role.is_some() {
             digest.loads.push(EngineLoad::of(engine, &work));
@@ -175,7 +175,7 @@
     digest.work = gateway.speeds().own_work().into_iter().map(to_service_work).collect();
     for (engine, parts) in gateway.take_cached(MAX_CACHED) {
         let Some(upstream) = view.get(&engine) else { continue };
-        digest.cached.push(CachedPrompt::of(upstream.digest, &parts));
+        digest.cached.push(CachedPrompt::of(upstream.hash, &parts));
     }
     digest
 }
@@ -189,7 +189,7 @@
     const MAX_LOADS: usize = 100;
     let view = gateway.fleet().view();
     let engines = view.all().filter(|upstream| upstream.entry.role.is_some());
-    let loads = engines.map(|one| EngineLoad::of(one.digest, &one.state.near_work(now)));
+    let loads = engines.map(|one| EngineLoad::of(one.hash, &one.state.near_work(now)));
     let mut loads: Vec<_> = loads.filter(|load| load.in_flight > 0).collect();
     loads.sort_unstable_by_key(|load| std::cmp::Reverse((load.reading_ms, load.in_flight)));
     loads.truncate(MAX_LOADS);
@@ -248,12 +248,12 @@
         // Only the engines in this or the previous digest change; there may be hundreds of others.
         let is_named = |engine| digest.loads.iter().any(|load| load.engine == engine);
         let ended = before.into_iter().filter(|engine| !is_named(*engine));
-        for upstream in ended.filter_map(|engine| view.by_digest(engine)) {
+        for upstream in ended.filter_map(|engine| view.by_hash(engine)) {
             upstream.state.record_peer(number, PeerLoad { at: now, is_far, ..PeerLoad::default() });
         }
     }
     for load in &digest.loads {
-        let Some(upstream) = view.by_digest(load.engine) else { continue };
+        let Some(upstream) = view.by_hash(load.engine) else { continue };
         let work = Work {
             in_flight: load.in_flight,
             reading_ms: f64::from(load.reading_ms),
@@ -267,7 +267,7 @@
     let view = gateway.fleet().view();
     let config = gateway.config();
     for cached in &digest.cached {
-        let Some(upstream) = view.by_digest(cached.engine) else { continue };
+        let Some(upstream) = view.by_hash(cached.engine) else { continue };
         let spec = config.as_ref().and_then(|config| config.service(&upstream.entry.service));
         let Some(engine) = spec.and_then(|spec| spec.engine.as_ref()) else { continue };
         let parts = cached.parts.iter().map(|(id, tokens)| Part { id: *id, tokens: *tokens });
--- a/crates/anvilhook-gateway/src/peers/notices.rs
+++ b/crates/anvilhook-gateway/src/peers/notices.rs
@@ -123,7 +123,7 @@
 ) {
     let view = gateway.fleet().view();
     for notice in &digest.notices {
-        let Some(upstream) = view.by_digest(notice.engine) else { continue };
+        let Some(upstream) = view.by_hash(notice.engine) else { continue };
         let after = |left_ms: u32| now + Millis(u64::from(left_ms));
         match notice.kind {
             NoticeKind::Away { left_ms } => upstream.state.mark_away(after(left_ms)),
--- a/crates/anvilhook-gateway/src/peers/seeding.rs
+++ b/crates/anvilhook-gateway/src/peers/seeding.rs
@@ -38,7 +38,7 @@
         let Some(upstream) = view.get(&engine) else { continue };
         for parts in parts.chunks(PARTS_PER_DIGEST) {
             let parts = parts.iter().map(|part| (part.id, part.tokens)).collect();
-            let cached = vec![CachedPrompt { engine: upstream.digest, parts, own_tokens: 0 }];
+            let cached = vec![CachedPrompt { engine: upstream.hash, parts, own_tokens: 0 }];
             let digest = Digest { cached, ..Digest::partial(gateway.peers(), now) };
             send(&digest, &[to], socket, gateway);
         }
--- a/crates/anvilhook-gateway/src/relay/examining.rs
+++ b/crates/anvilhook-gateway/src/relay/examining.rs
@@ -98,7 +98,7 @@
         if upstream.is_leaving() {
             return;
         }
-        if self.suspects().record_interruption(upstream.digest, exchange.fingerprint, how) {
+        if self.suspects().record_interruption(upstream.hash, exchange.fingerprint, how) {
             let (gateway, upstream) = (self.clone(), Arc::clone(upstream));
             tokio::spawn(async move { gateway.examine(&upstream).await });
         }
@@ -122,7 +122,7 @@
                 Liveness::Refused => refusals += 1,
                 Liveness::Unknown if self.now() < until => refusals = 0,
                 Liveness::Alive | Liveness::Unknown => {
-                    return self.suspects().dismiss(upstream.digest);
+                    return self.suspects().dismiss(upstream.hash);
                 }
             }
             tokio::time::sleep(CHECK_PAUSE).await;
@@ -167,7 +167,7 @@
     /// is removed as well, but its connections do not break.
     fn liveness_without_answer(&self, upstream: &Upstream) -> Liveness {
         let is_listed = self.fleet().view().get(&upstream.entry.id).is_some();
-        let is_removed = !is_listed && self.suspects().has_broken(upstream.digest);
+        let is_removed = !is_listed && self.suspects().has_broken(upstream.hash);
         match self.liveness_by_entry(upstream) {
             Liveness::Alive if is_removed => Liveness::Ended(Evidence::Removed),
             Liveness::Alive => Liveness::Unknown,
@@ -179,14 +179,14 @@
     fn confirm_end(&self, upstream: &Upstream, evidence: Evidence) {
         let (suspects, now) = (self.suspects(), self.now());
         if upstream.is_leaving() {
-            return suspects.dismiss(upstream.digest);
+            return suspects.dismiss(upstream.hash);
         }
-        let outcomes = suspects.confirm_end(upstream.digest, now);
+        let outcomes = suspects.confirm_end(upstream.hash, now);
         self.peers().announce();
         let counted = outcomes.iter().filter(|(_, outcome)| *outcome != EndOutcome::Ignored);
         emit(&Event::EngineEnded {
             upstream: &upstream.entry.id,
-            incarnation: upstream.digest,
+            incarnation: upstream.hash,
             evidence,
             runs: outcomes.len(),
             suspects: counted.map(|(request, _)| *request).take(MAX_LOGGED).collect(),
--- a/crates/anvilhook-gateway/src/roles/mod.rs
+++ b/crates/anvilhook-gateway/src/roles/mod.rs
@@ -158,7 +158,7 @@
             let max = left + self.settling.len();
             let changes = self.changes_of(&service.name, listed, &mix, max).into_iter();
             let unsettled =
-                changes.filter(|(upstream, _)| !self.settling.contains_key(&upstream.digest));
+                changes.filter(|(upstream, _)| !self.settling.contains_key(&upstream.hash));
             let allowed = unsettled.take(left);
             let duration = engine.role_change;
             due.extend(allowed.map(|(upstream, role)| Change { upstream, role, duration }));
@@ -238,7 +238,7 @@
     fn record_outcome(&mut self, change: Change, outcome: OrderOutcome, lease: Lease) {
         let Change { upstream, role, duration } = change;
         let now = self.clock.now();
-        self.settling.insert(upstream.digest, now + SETTLE_TIME);
+        self.settling.insert(upstream.hash, now + SETTLE_TIME);
         match outcome {
             OrderOutcome::Answered(OrderAnswer::Taken) => {
                 let until = now + duration + MAX_COMPLETION_TIME;
--- a/crates/anvilhook-gateway/tests/decisions.rs
+++ b/crates/anvilhook-gateway/tests/decisions.rs
@@ -83,7 +83,7 @@
     assert_eq!(gateway.caches().held_tokens("e", &prompt(10_000, 2)), 0);
     assert_eq!(gateway.caches().held_tokens("other", &prompt(10_000, 2)), 13_000);
     assert!(
-        gateway.fleet().view().by_digest(before.digest).is_none(),
+        gateway.fleet().view().by_hash(before.hash).is_none(),
         "updates of peers from before the restart"
     );
     drop(in_flight);
--- a/crates/anvilhook-gateway/tests/leaving.rs
+++ b/crates/anvilhook-gateway/tests/leaving.rs
@@ -175,7 +175,7 @@
 }
 
 fn engine_of(front: &Front, id: &str) -> u32 {
-    front.gateway.fleet().view().get(id).expect("listed").digest
+    front.gateway.fleet().view().get(id).expect("listed").hash
 }
 
 /// Guards against generation at an engine that began to leave while another engine read the prompt
--- a/crates/anvilhook-gateway/tests/peers.rs
+++ b/crates/anvilhook-gateway/tests/peers.rs
@@ -216,7 +216,7 @@
 async fn verify_only_own_findings_about_unavailable_engines_are_published() {
     let (one, others) = instance_with_peers(30).await;
     let state = Arc::clone(&one.gateway.fleet().view().get("e0").expect("listed").state);
-    let engine = entry("e0", 1).digest();
+    let engine = entry("e0", 1).hash();
     let kind = NoticeKind::Away { left_ms: 60_000 };
     let notices = vec![Notice { engine, kind }];
     let digest = Digest { from: 9, notices, ..Digest::default() };
@@ -428,7 +428,7 @@
     const DATAGRAMS: usize = 3_000;
     let one = instance(1, 1, &[]).await;
     let engine = Arc::clone(one.gateway.fleet().view().get("e0").expect("listed"));
-    let valid = valid_digests(engine.digest);
+    let valid = valid_digests(engine.hash);
     let sender = UdpSocket::bind("127.0.0.1:0").await.expect("a port");
     let mut rng = ChaCha8Rng::seed_from_u64(11);
 
