--- a/crates/anvilhook-gateway/src/leases.rs
+++ b/crates/anvilhook-gateway/src/leases.rs
@@ -84,7 +84,7 @@
     }
 
     /// Releases the lease because an engine or the platform has seen a newer one. This instance
-    /// does not acquire it again for twice its length, so that the newer holder can act.
+    /// does not acquire the lease again for twice its length, so that the newer holder can act.
     pub fn yield_to_newer(&mut self) {
         self.lease = None;
         self.not_before = self.clock.now() + self.length * 2;
--- a/crates/anvilhook-gateway/src/relay/attempts.rs
+++ b/crates/anvilhook-gateway/src/relay/attempts.rs
@@ -28,8 +28,8 @@
 /// The maximum size of an answer that is collected before it is forwarded, in bytes.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// How long an upstream is not used after it refused a request although less than half of its slots were taken,
-/// or refused a plain request as misdirected.
+/// How long an upstream is not used after it refused a request although less than half of its slots were
+/// taken, or refused a plain request as misdirected.
 const WRONG_STAGE_PAUSE: Millis = Millis(300);
 
 /// How long no instance uses an upstream whose host refuses connections. An upstream that restarts is
--- a/crates/anvilhook-gateway/src/suspects.rs
+++ b/crates/anvilhook-gateway/src/suspects.rs
@@ -196,8 +196,8 @@
         suspects.map(|(one, ends)| (one, tracker.status(one, now), ends.to_vec())).collect()
     }
 
-    /// Begins a suspect's run. Returns `None` if a run of it or of one of its rivals is in progress. Rivals ran
-    /// at the same engines when these terminated, so it is unknown which of them is the cause.
+    /// Begins a suspect's run. Returns `None` if a run of it or of one of its rivals is in progress. Rivals
+    /// ran at the same engines when these terminated, so it is unknown which of them is the cause.
     pub(crate) fn begin_trial(
         self: &Arc<Self>,
         request: Fingerprint,
--- a/crates/anvilhook-gateway/src/usage.rs
+++ b/crates/anvilhook-gateway/src/usage.rs
@@ -71,7 +71,7 @@
         self.windows
     }
 
-    /// Returns the wall-clock time, as the median of all instances' clocks.
+    /// Returns the wall-clock time, as the median of the known instances' clocks.
     pub fn time(&self, now: Millis) -> WallTime {
         self.state().clocks.time(now)
     }
