--- a/crates/anvilhook-core/src/api_keys.rs
+++ b/crates/anvilhook-core/src/api_keys.rs
@@ -96,7 +96,7 @@
 /// use anvilhook_core::api_keys::{AccountRegistry, ClientAccount, KeyHasher};
 ///
 /// let mut registry = AccountRegistry::new(KeyHasher::new([7; 32]));
-/// let account = ClientAccount { name: "kitchen".into(), priority: None };
+/// let account = ClientAccount { name: "account-1".into(), priority: None };
 /// registry.try_add(account.clone(), ["first", "second"]).unwrap();
 /// assert_eq!(registry.account(&registry.digest(b"second")).map(|one| &**one), Some(&account));
 /// assert_eq!(registry.account(&registry.digest(b"third")), None);
--- a/crates/anvilhook-core/src/authority/decisions.rs
+++ b/crates/anvilhook-core/src/authority/decisions.rs
@@ -21,7 +21,7 @@
     pub state: &'a EngineState,
     /// When the request that read the state was sent.
     pub read_at: Millis,
-    /// Since when this process has seen the set of uncleared former holders that is in the row.
+    /// When this process first saw the row with its current set of uncleared former holders.
     pub uncleared_since: Millis,
     /// The last order that this process gave to the engine.
     pub given: Option<GivenOrder>,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Returns the next step for an engine of a pool that the caller holds by `row`.
+/// Returns the next step for an engine of a pool that the caller holds. `row` is the row of that pool.
 pub fn decide(row: &PoolRow, facts: &EngineFacts<'_>, options: &SettleOptions) -> Decision {
     // If a table loses its rows, terms start again, and the engine has seen later ones. If instead a
     // successor has taken the pool, the row has changed and the write of the raised term fails.
--- a/crates/anvilhook-core/src/caches/followers.rs
+++ b/crates/anvilhook-core/src/caches/followers.rs
@@ -3,7 +3,7 @@
 use super::indices::{CacheSlot, PrefixIndex};
 use crate::reports::{CacheChange, CacheEventPage};
 
-/// The maximum number of consecutive missed events that does not invalidate the cached state of the engine.
+/// The maximum number of consecutive missed events that leaves the engine's entries in the index valid.
 ///
 /// Any missed event may have been an eviction. But a wrong entry costs only one full prefill of a prompt
 /// and is corrected by the next event about its block. Invalidating would lose all other entries, and
@@ -50,8 +50,8 @@
     /// Applies a page of events to the index.
     pub fn apply(&mut self, page: &CacheEventPage, index: &PrefixIndex) {
         if self.boot != Some(page.boot) {
-            // The process was restarted with an empty cache. A page that was requested with the old
-            // process's number is useless; the next request begins at the start.
+            // The process was restarted with an empty cache. A page that was requested with an event
+            // number of the old process is useless; the next request begins at the start.
             let is_first = self.boot.is_none();
             index.void(self.slot);
             self.boot = Some(page.boot);
--- a/crates/anvilhook-core/src/drains/followers.rs
+++ b/crates/anvilhook-core/src/drains/followers.rs
@@ -49,7 +49,7 @@
 
     /// Returns the drains that the instance may acknowledge. The caller must route by the adopted marks
     /// before `open_requests` reads the counts. Otherwise a request that was routed by older marks could
-    /// begin after its engine's count was read as zero, and would be cut off by the change.
+    /// begin after its engine's count was read as zero, and the change would interrupt it.
     pub fn ack(
         &self,
         instance: &InstanceName,
--- a/crates/anvilhook-core/src/drains/mod.rs
+++ b/crates/anvilhook-core/src/drains/mod.rs
@@ -1,4 +1,4 @@
-//! Drains: taking work off an engine before it is changed, without cutting off a request.
+//! Drains: taking work off an engine before it is changed, without interrupting a request.
 //!
 //! An engine is marked as draining in the table, at a generation. Every announced instance that has read
 //! the mark routes no new requests to the engine. Once it has no request in flight there, it
--- a/crates/anvilhook-core/src/ejections.rs
+++ b/crates/anvilhook-core/src/ejections.rs
@@ -108,7 +108,7 @@
 }
 
 /// How many instances must have received an error within [`REPORT_AGE`] for all to eject an upstream.
-/// Three agree by chance only where a good part of a busy upstream's requests fail.
+/// Three report errors at the same time by chance only if many of a busy upstream's requests fail.
 const REPORTERS: usize = 3;
 
 /// How long a reported error counts.
--- a/crates/anvilhook-core/src/fleet_size.rs
+++ b/crates/anvilhook-core/src/fleet_size.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// `EngineKind` is the terms on which an engine runs.
+/// `EngineKind` distinguishes engines by whether they may be reclaimed.
 #[derive(Clone, Copy, Debug, Eq, Hash, PartialEq)]
 pub enum EngineKind {
     /// It runs until it is released.
--- a/crates/anvilhook-core/src/leases/options.rs
+++ b/crates/anvilhook-core/src/leases/options.rs
@@ -5,11 +5,11 @@
 use crate::errors::{Error, Result};
 use crate::units::Millis;
 
-/// The most by which rounding alone can make a span look longer to a challenger than to the holder. Both
-/// read their clocks in whole milliseconds, which adds up to one millisecond each.
+/// The maximum by which a challenger measures a span longer than the holder does because of rounding. Both
+/// read their clocks in whole milliseconds, which causes an error of up to one millisecond each.
 const ROUNDING: Millis = Millis(2);
 
-/// The shortest time-out that is sufficient for a call to an engine.
+/// The shortest timeout that is sufficient for a call to an engine.
 const MIN_CALL_TIMEOUT: Millis = Millis(100);
 
 /// Parts per million, the unit of clock rate differences.
@@ -68,10 +68,10 @@
         Ok(())
     }
 
-    /// Returns the time-out of calls to engines. It applies once to the head of an answer and once
+    /// Returns the timeout of calls to engines. It applies once to the head of an answer and once
     /// to the rest.
     ///
-    /// If it could be set separately, a long time-out could let an order that was given just before the
+    /// If it could be set separately, a long timeout could let an order that was given just before the
     /// guard interval arrive after a successor has begun: an engine would change against its holder's
     /// will. It is derived from the guard interval, so that a whole call always ends within it, with a
     /// fifth to spare for clocks and scheduling.
--- a/crates/anvilhook-core/src/membership/readers.rs
+++ b/crates/anvilhook-core/src/membership/readers.rs
@@ -1,23 +1,23 @@
-//! Chooses the instances that read an engine's load report for all others.
+//! Chooses the readers of an engine: the instances that poll its load report for all others.
 
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
 
 use crate::names::{InstanceName, UpstreamName, ZoneName};
 
-/// The number of instances that read one engine.
+/// The number of readers of one engine.
 pub const READERS: usize = 2;
 
-/// Chooses the instances that read an engine's load report, at most two, among the announced ones with
-/// their availability zones.
+/// Chooses the readers of an engine, at most two, among the announced instances with their availability
+/// zones.
 ///
 /// Each engine ranks all instances in its own order. The readers are the first instance and the first of
 /// another zone, so that one reader is left when a zone is lost; if all are in one zone, the second
-/// instance. If an instance leaves, the next one in the order replaces it at each engine that it read, so
-/// that no other reader changes.
+/// instance. If an instance leaves, the next one in the order replaces it at each engine that it polled,
+/// so that no other reader changes.
 ///
 /// Instances with different views of the members choose different readers for a while. An engine is then
-/// read by more instances, or by none until others miss its digests and read it themselves.
+/// polled by more instances, or by none until others miss its digests and poll it themselves.
 ///
 /// ```
 /// use anvilhook_core::membership::choose_readers;
@@ -49,7 +49,7 @@
 
 fn weight(engine: &UpstreamName, instance: &InstanceName) -> u64 {
     // The hasher's keys are fixed, so all instances of one version agree. If they don't agree, an engine
-    // is read more often or its digests are missed.
+    // is polled more often or its digests are missed.
     let mut hasher = DefaultHasher::new();
     (engine, instance).hash(&mut hasher);
     hasher.finish()
--- a/crates/anvilhook-core/src/quarantine.rs
+++ b/crates/anvilhook-core/src/quarantine.rs
@@ -25,10 +25,11 @@
 /// `QuarantineOptions` sets when a request is quarantined, and for how long.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct QuarantineOptions {
-    /// How many engine processes must have ended under a request if most engine ends happen under it.
+    /// How many engine processes must have ended under a request if at least two thirds of all recent
+    /// engine ends happened under it.
     pub ends: usize,
-    /// How many must have ended otherwise: where engines also end for other reasons, some requests happen to
-    /// run at several of them.
+    /// How many must have ended under it otherwise. Where engines also end for other reasons, some requests
+    /// happen to run at several of them.
     pub ends_among_others: usize,
     /// How long a suspicion or a quarantine lasts after the last end or arrival.
     pub memory: Millis,
@@ -50,7 +51,7 @@
     }
 }
 
-/// `SuspectStatus` is the status of a request.
+/// `SuspectStatus` is the status of a request in the quarantine.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum SuspectStatus {
     /// There is no evidence against it.
@@ -190,8 +191,9 @@
         }
     }
 
-    /// Returns the trial slot of a suspect that the next ends would quarantine together with others: those
-    /// that ran at all the engines which ended under it. Returns `None` if it may be tried anywhere.
+    /// Returns the trial slot of a suspect that has rivals: other suspects that ran at all the engines which
+    /// ended under it, so that further ends would quarantine them together. Returns `None` if it may be
+    /// tried anywhere.
     ///
     /// If a service has two upstreams, both end each time, and a request that was tried alongside the cause
     /// collects as many ends. All instances that know the same ends separate such suspects in the same way:
@@ -222,8 +224,8 @@
 
     /// Returns how many engines must have ended under a request to quarantine it.
     ///
-    /// Where engines end without the request about as often as under it, the request may only have run
-    /// alongside the cause. All ends since the first one under the request are compared.
+    /// Where engines end without the request more than half as often as under it, the request may only have
+    /// run alongside the cause. All recent ends since the first one under the request are compared.
     pub fn needed_ends(&self, request: Fingerprint, now: Millis) -> usize {
         let own = self.ends(request, now);
         let since = own.iter().map(|end| end.at).min().unwrap_or(now);
@@ -335,7 +337,8 @@
         }
     }
 
-    /// Removes the evidence against a request, on an operator's order. Returns whether there was any.
+    /// Removes the evidence against a request, after a successful run or on an operator's order. Returns
+    /// whether there was any.
     pub fn lift(&mut self, request: Fingerprint, now: Millis) -> bool {
         let is_known = self.suspects.remove(&request).is_some();
         if is_known && self.cleared.len() < self.options.max_requests {
--- a/crates/anvilhook-core/src/ranks.rs
+++ b/crates/anvilhook-core/src/ranks.rs
@@ -7,9 +7,9 @@
 /// The number of random bits, which are below the bits of the link's speed class.
 const RANDOM_BITS: u32 = 56;
 
-/// Returns the number of an instance whose link has `link_mbps` megabits per second, if that is known.
-/// The upper bits are the speed class of the link, where each class has twice the speed of the one
-/// before; the lower 56 bits are random.
+/// Returns the number from which an instance's ranks are derived. `link_mbps` is the speed of its link in
+/// megabits per second, if that is known. The upper bits of the number are the speed class of the link,
+/// where each class has twice the speed of the one before; the lower 56 bits are random.
 ///
 /// All instances derive the ranks from the numbers that they receive, so that they agree without
 /// coordination.
--- a/crates/anvilhook-core/src/resources/changes.rs
+++ b/crates/anvilhook-core/src/resources/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, and the rules that each change must keep.
+//! Changes of the configuration, and the rules that each change must follow.
 
 use serde::{Deserialize, Serialize};
 
@@ -51,7 +51,7 @@
 }
 
 impl Change {
-    /// Checks that the change keeps every rule when it is applied to `base`.
+    /// Checks that the change follows every rule when it is applied to `base`.
     ///
     /// # Errors
     ///
--- a/crates/anvilhook-core/src/resources/conditions.rs
+++ b/crates/anvilhook-core/src/resources/conditions.rs
@@ -4,7 +4,7 @@
 
 use crate::units::WallTime;
 
-/// `ConditionState` says whether a condition holds.
+/// `ConditionState` indicates whether a condition holds.
 #[derive(Clone, Copy, Debug, Deserialize, Eq, PartialEq, Serialize)]
 pub enum ConditionState {
     /// The condition holds.
--- a/crates/anvilhook-core/src/resources/engine_pools.rs
+++ b/crates/anvilhook-core/src/resources/engine_pools.rs
@@ -38,7 +38,7 @@
     1
 }
 
-/// `RolePolicy` says how the roles of a pool are planned.
+/// `RolePolicy` sets how the roles of a pool are planned.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RolePolicy {
--- a/crates/anvilhook-core/src/resources/engines.rs
+++ b/crates/anvilhook-core/src/resources/engines.rs
@@ -56,7 +56,7 @@
     Role::Mixed
 }
 
-/// `Fencing` says what an engine does with an order whose fencing number is old.
+/// `Fencing` describes what an engine does with an order whose fencing number is old.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Eq, Hash, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
--- a/crates/anvilhook-core/src/roles/mod.rs
+++ b/crates/anvilhook-core/src/roles/mod.rs
@@ -1,4 +1,4 @@
-//! Role planning decides which engines read prompts, which generate output and which do both.
+//! Role planning decides which engines read (prefill) prompts, which generate output and which do both.
 //!
 //! A `WorkMeter` on the request path counts the work. From its figures a `RolePlanner` decides whether
 //! a change of roles gains more than it costs. The planner only returns the roles that engines should
--- a/crates/anvilhook-core/src/routing/lanes.rs
+++ b/crates/anvilhook-core/src/routing/lanes.rs
@@ -1,5 +1,5 @@
-//! Lanes divide the engines of a table into those that read long prompts and those that are
-//! reserved for tight deadlines.
+//! Lanes divide the engines of a table into those that read (prefill) long prompts and those that
+//! are reserved for tight deadlines.
 //!
 //! An engine that reads a long prompt delays every request that generates there. Requests with
 //! tight deadlines are therefore separated from latency-tolerant (patient) ones by routing alone:
--- a/crates/anvilhook-core/src/routing/loads.rs
+++ b/crates/anvilhook-core/src/routing/loads.rs
@@ -33,7 +33,7 @@
 /// `Speeds` are an engine's declared speeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Speeds {
-    /// Prompt tokens read in a millisecond when the engine does nothing else.
+    /// Prompt tokens read (prefilled) in a millisecond when the engine does nothing else.
     pub prefill_tokens_per_ms: f64,
     /// Time between two tokens of one request that runs alone.
     pub decode_step_ms: f64,
--- a/crates/anvilhook-core/src/routing/tables.rs
+++ b/crates/anvilhook-core/src/routing/tables.rs
@@ -52,12 +52,12 @@
     }
 }
 
-/// `Placement` says where a request should run.
+/// `Placement` describes where a request should run.
 #[derive(Clone, Copy, Debug)]
 pub enum Placement<'a> {
     /// The whole request runs on one engine.
     Whole(Candidate<'a>),
-    /// One engine reads the prompt. The engine that generates is chosen once the prompt is read.
+    /// One engine reads (prefills) the prompt. The engine that generates is chosen once the prompt is read.
     Split {
         /// The engine that reads the prompt.
         prefill: Candidate<'a>,
--- a/crates/anvilhook-core/src/routing/upstreams.rs
+++ b/crates/anvilhook-core/src/routing/upstreams.rs
@@ -1,4 +1,4 @@
-//! The state that one instance keeps of one upstream.
+//! The state that one instance stores about one upstream.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicU64, Ordering};
@@ -67,7 +67,7 @@
     }
 }
 
-/// `SentSince` is the work that an instance reports to have sent to an engine since a load report.
+/// `SentSince` is the work that an instance has sent to an engine since a load report, as it reports.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct SentSince {
     /// The number of the engine's start that the load report belongs to.
@@ -79,7 +79,7 @@
 }
 
 impl SentSince {
-    /// Returns the work that is not contained in the earlier statement of the same instance. Sums
+    /// Returns the work that is not contained in the earlier report of the same instance. Sums
     /// since the same load report that arrive again would otherwise be counted again, and the engine
     /// would appear busier and busier.
     pub fn added_since(&self, earlier: Option<&SentSince>) -> SentTotals {
@@ -88,7 +88,7 @@
     }
 }
 
-/// `UpstreamState` is the state that this instance keeps of an upstream. All route tables that
+/// `UpstreamState` is the state that this instance stores about an upstream. All route tables that
 /// contain the upstream share it, so that replacing a table loses no count.
 #[derive(Debug)]
 pub struct UpstreamState {
@@ -209,12 +209,12 @@
         self.load.has_report()
     }
 
-    /// Records work that a peer reports to have sent at about `at`.
+    /// Records work that a peer sent at about `at`, as it reports.
     pub fn record_peer_work(&self, work: Work, at: Millis) {
         self.load.record(work, at);
     }
 
-    /// Records the sums of all work that a peer reports to have sent at about `at`.
+    /// Records the sums of work that a peer sent at about `at`, as it reports.
     pub fn record_peer_sent(&self, sent: &SentTotals, at: Millis) {
         self.load.record_sums(sent, at);
     }
--- a/crates/anvilhook-core/src/speeds.rs
+++ b/crates/anvilhook-core/src/speeds.rs
@@ -1,9 +1,9 @@
 //! Learns how fast engines work from the requests that they completed.
 //!
 //! No deployment reports how fast its engines read (prefill) prompts, and two deployments that look
-//! alike may differ by a factor of three in the cost of attention. Predictions from another
-//! deployment's figures misplace long prompts above all, because they overestimate their wait several
-//! times.
+//! alike may differ by a factor of three in the cost of attention. Predictions based on another
+//! deployment's figures place long prompts in particular on the wrong engines, because they
+//! overestimate the wait for them several times over.
 
 /// The factor by which each new reading reduces the weight of all earlier ones.
 const DECAY: f64 = 0.995;
--- a/crates/anvilhook-core/src/splits.rs
+++ b/crates/anvilhook-core/src/splits.rs
@@ -128,7 +128,7 @@
 /// assert_eq!(next_share(0.67, 0.67, &mix, &full, 140), 0.5);
 /// assert_eq!(next_share(0.67, 0.67, &mix, &full, 9), 0.67, "one engine more or less");
 /// let half_idle = Pressure { reading: 0.5, generating: 0.5 };
-/// assert_eq!(next_share(0.67, 0.67, &mix, &half_idle, 140), 0.67, "there is room");
+/// assert_eq!(next_share(0.67, 0.67, &mix, &half_idle, 140), 0.67, "engines have free capacity");
 /// ```
 pub fn next_share(
     current: f64,
--- a/crates/anvilhook-core/src/stops.rs
+++ b/crates/anvilhook-core/src/stops.rs
@@ -1,8 +1,8 @@
 //! Decides which requests an instance that is stopping still accepts.
 //!
 //! Load balancers notice a stop only after some time, and callers go on using their open connections,
-//! so requests arrive until the process has terminated. The answer of an accepted request that takes
-//! longer than that is truncated, although its caller could have gone to another instance at once.
+//! so requests arrive until the process has terminated. If an accepted request is still running at that
+//! moment, its answer is truncated, although its caller could have gone to another instance at once.
 
 use crate::units::Millis;
 
@@ -21,7 +21,7 @@
     pub ends_at: Millis,
 }
 
-/// `Acceptance` says whether a stopping instance accepts a request, and why.
+/// `Acceptance` indicates whether a stopping instance accepts a request, and why.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Acceptance {
     /// Accepted: the caller's own limit ends before the instance terminates.
--- a/crates/anvilhook-core/src/usage.rs
+++ b/crates/anvilhook-core/src/usage.rs
@@ -113,13 +113,13 @@
 /// ```
 /// use anvilhook_core::usage::{AccountCode, Source, UsageCounters};
 ///
-/// let (kitchen, own) = (AccountCode(1), Source::Instance { zone: 1, number: 7 });
+/// let (account, own) = (AccountCode(1), Source::Instance { zone: 1, number: 7 });
 /// let mut counters = UsageCounters::new();
-/// counters.count(own, kitchen, 40);
+/// counters.count(own, account, 40);
 /// let changes = counters.take_changes(10);
 /// counters.merge(Source::Instance { zone: 2, number: 8 }, &changes, 40);
 /// counters.merge(Source::Instance { zone: 2, number: 8 }, &changes, 40);
-/// assert_eq!(counters.totals(40)[&kitchen], 2);
+/// assert_eq!(counters.totals(40)[&account], 2);
 /// ```
 #[derive(Debug, Default)]
 pub struct UsageCounters {
@@ -243,11 +243,11 @@
 mod tests {
     use super::{AccountCode, RETAINED_WINDOWS, Source, UsageCounters, WindowCounts};
 
-    const KITCHEN: AccountCode = AccountCode(1);
+    const ACCOUNT: AccountCode = AccountCode(1);
     const OWN: Source = Source::Instance { zone: 1, number: 1 };
 
     fn counts_of(window: u64, count: u32) -> Vec<WindowCounts> {
-        vec![WindowCounts { window, counts: vec![(KITCHEN, count)] }]
+        vec![WindowCounts { window, counts: vec![(ACCOUNT, count)] }]
     }
 
     /// Guards against wrong sums when updates arrive duplicated, late or out of order.
@@ -257,9 +257,9 @@
         for count in [3, 5, 5, 4] {
             counters.merge(peer, &counts_of(9, count), 9);
         }
-        counters.count(OWN, KITCHEN, 9);
+        counters.count(OWN, ACCOUNT, 9);
 
-        assert_eq!(counters.totals(9)[&KITCHEN], 6);
+        assert_eq!(counters.totals(9)[&ACCOUNT], 6);
     }
 
     /// Guards against counting requests twice when both the sum of a zone and the sums of its
@@ -269,10 +269,10 @@
         let mut counters = UsageCounters::new();
         counters.merge(Source::Zone(2), &counts_of(9, 10), 9);
         counters.merge(Source::Instance { zone: 2, number: 2 }, &counts_of(9, 4), 9);
-        assert_eq!(counters.totals(9)[&KITCHEN], 10);
+        assert_eq!(counters.totals(9)[&ACCOUNT], 10);
 
         counters.merge(Source::Instance { zone: 2, number: 3 }, &counts_of(9, 8), 9);
-        assert_eq!(counters.totals(9)[&KITCHEN], 12);
+        assert_eq!(counters.totals(9)[&ACCOUNT], 12);
     }
 
     /// Guards against losing the counts of an instance's previous process when it restarts.
@@ -283,7 +283,7 @@
             counters.merge(Source::Instance { zone: 1, number }, &counts_of(9, 4), 9);
         }
 
-        assert_eq!(counters.totals(9)[&KITCHEN], 8);
+        assert_eq!(counters.totals(9)[&ACCOUNT], 8);
     }
 
     /// Guards against a long-lived instance that retains all windows, or windows far from the present
@@ -292,7 +292,7 @@
     fn verify_windows_are_bounded() {
         let mut counters = UsageCounters::new();
         for window in 0..100 {
-            counters.count(OWN, KITCHEN, window);
+            counters.count(OWN, ACCOUNT, window);
         }
         counters.merge(Source::Zone(2), &counts_of(u64::MAX, 1), 99);
         counters.merge(Source::Zone(2), &counts_of(5, 1), 99);
--- a/crates/anvilhook-core/src/verdict.rs
+++ b/crates/anvilhook-core/src/verdict.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// `Verdict` says whether a request may have run at its upstream.
+/// `Verdict` indicates whether a request may have run at its upstream.
 ///
 /// The variants are ordered from the least to the most that may have happened, so the verdict on a
 /// request with several attempts is the greatest of their verdicts.
--- a/crates/anvilhook-core/src/watches.rs
+++ b/crates/anvilhook-core/src/watches.rs
@@ -6,13 +6,13 @@
 //! has a cost. Therefore one instance of each availability zone follows the table and publishes its
 //! changes to the others, which query the table only for changes that they missed.
 //!
-//! No instance has a fixed role. Each decides by what it has recently received. Two may therefore
-//! follow for a moment, which costs one call, and none may follow until the timeout of the last
-//! follower.
+//! No instance has a fixed role. Each decides by what it has recently received. Two instances may
+//! therefore follow the table for a moment, which costs one more call. If the follower terminates, no
+//! instance follows the table until `FOLLOWER_TIMEOUT` has passed.
 
 use crate::units::Millis;
 
-/// How long an instance may send nothing and still be relied on to follow a table.
+/// How long an instance may send nothing and still be assumed to follow a table.
 ///
 /// A healthy instance sends something every half second. The shortest time within which a change must
 /// be active is 2 s, and after the timeout one call to the table must still fit into it.
@@ -27,7 +27,7 @@
 /// `Candidate` is an instance that could follow a table for its availability zone.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub struct Candidate {
-    /// Its rank, from a hash that all instances compute alike; the highest goes first.
+    /// Its rank, from a hash that all instances compute alike; the highest rank is chosen first.
     pub rank: u64,
     /// Whether its last attempt to reach the table succeeded.
     pub is_able: bool,
@@ -42,13 +42,13 @@
 /// ```
 /// use anvilhook_core::watches::{Candidate, is_chosen};
 ///
-/// let of = |rank, is_able| Candidate { rank, is_able };
-/// let (best, next) = (of(9, true), of(5, true));
+/// let candidate = |rank, is_able| Candidate { rank, is_able };
+/// let (best, next) = (candidate(9, true), candidate(5, true));
 /// assert!(is_chosen(&best, [next].into_iter()));
 /// assert!(!is_chosen(&next, [best].into_iter()));
-/// assert!(is_chosen(&next, [of(9, false)].into_iter()), "the best can't reach the table");
-/// assert!(is_chosen(&of(9, false), [of(5, false)].into_iter()), "nobody can");
-/// assert!(!is_chosen(&of(5, false), [of(9, false)].into_iter()));
+/// assert!(is_chosen(&next, [candidate(9, false)].into_iter()), "the best can't reach the table");
+/// assert!(is_chosen(&candidate(9, false), [candidate(5, false)].into_iter()), "no instance can");
+/// assert!(!is_chosen(&candidate(5, false), [candidate(9, false)].into_iter()));
 /// ```
 pub fn is_chosen(own: &Candidate, others: impl Iterator<Item = Candidate>) -> bool {
     let priority = |candidate: &Candidate| (candidate.is_able, candidate.rank);
@@ -64,7 +64,7 @@
     pub to: u64,
 }
 
-/// `Continuity` says how a span fits the known version of a table.
+/// `Continuity` describes how a span fits the known version of a table.
 #[derive(Clone, Copy, Debug, Eq, PartialEq)]
 pub enum Continuity {
     /// The span contains nothing new.
@@ -87,7 +87,7 @@
     /// let span = Span { after: 100, to: 120 };
     /// assert_eq!(span.fits(120), Continuity::Known);
     /// assert_eq!(span.fits(100), Continuity::Next);
-    /// assert_eq!(span.fits(110), Continuity::Next, "a part of it was heard before");
+    /// assert_eq!(span.fits(110), Continuity::Next, "a part of it is already known");
     /// assert_eq!(span.fits(99), Continuity::Gap);
     /// ```
     pub fn fits(&self, known: u64) -> Continuity {
