--- a/crates/anvilhook-core/src/watches.rs
+++ b/crates/anvilhook-core/src/watches.rs
@@ -7,8 +7,8 @@
 //! changes to the others, which query the table only for changes that they missed.
 //!
 //! No instance has a fixed role. Each decides by what it has recently received. Two instances may
-//! therefore follow the table for a moment, which costs one more call. If the follower terminates, no
-//! instance follows the table until `FOLLOWER_TIMEOUT` has passed.
+//! therefore follow the table for a moment, which costs one more call. If the follower stops sending,
+//! no instance follows the table until `FOLLOWER_TIMEOUT` has passed.
 
 use crate::units::Millis;
 
