--- a/scripts/check-explained.py
+++ b/scripts/check-explained.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Checks that the instances' logs tell the cause of each request that the bench lists as not served.
+"""Checks that the instances' logs give the cause of each request that the bench lists as not served.
 
     fleetbench run SITE DAY --log all > day.log
     scripts/check-explained.py day.log [more.log ...]
 
-For each listed request it prints what the bench saw last, what the logs say, and whether the two
-agree; what can't be told from the logs is counted and ends the script with status 1.
+For each listed request it prints the last step that the bench saw and the matching event of the logs.
+Requests without a matching event are counted, and make the script exit with status 1.
 """
 
 import json
@@ -16,12 +16,11 @@
 STEP = re.compile(r"^\s+[\d.]+ s\s+(.*)")
 GROUP = re.compile(r"^not served, last try '(.*)':")
 
-# A log without a line for so long has ended, or its instance was away.
+# A log without a line for this long has ended, or its instance was unavailable.
 SILENCE_MS = 900
 
-# What the bench may have seen last, and the events of ours that tell of it: a name, and for some a
-# condition on the event's fields.
-TELLS = [
+# The last steps that the bench may have seen, each with a test for the log events that explain it.
+EXPLANATIONS = [
     (re.compile(r"client gets (\d+)"), lambda e, m: e["event"] == "concluded" and str(e["status"]) == m[1]),
     (re.compile(r"closed in the middle"), lambda e, m: e["event"] == "stream_ended" and e["outcome"] == "cut"),
     (re.compile(r"deadline passes|client leaves|gives up"), lambda e, m: e["event"] in ("caller_left", "concluded", "stream_ended")),
@@ -59,19 +58,19 @@
     return listed, events, times
 
 
-def told_by(steps, events):
-    """Returns the event that tells of the last step that any event could tell of, if there is one."""
+def explained_by(steps, events):
+    """Returns the last step that an event can explain, and the event that explains it, if there is one."""
     for step in reversed(steps):
-        for pattern, tells in TELLS:
+        for pattern, explains in EXPLANATIONS:
             match = pattern.search(step)
             if match:
-                return step, next((e for e in reversed(events) if tells(e, match)), None)
+                return step, next((e for e in reversed(events) if explains(e, match)), None)
     return (steps or ["nothing"])[-1], None
 
 
 def end_of_log(events, times):
     """Returns the end of an instance's log right after the request's last event, if it ends there:
-    an instance that loses power can say nothing more."""
+    an instance that loses power logs nothing more."""
     if not events:
         return None
     last = events[-1]
@@ -85,24 +84,24 @@
 
 
 def main(paths):
-    untold = 0
+    unexplained = 0
     for path in paths:
         listed, events, times = read(path)
         for request, kind, steps in listed:
-            step, event = told_by(steps, events.get(request, []))
+            step, event = explained_by(steps, events.get(request, []))
             if step == "no connection":
                 print(f"{path} {request} {kind}: reached no instance")
                 continue
             if event is None:
                 event = end_of_log(events.get(request, []), times)
             if event is None:
-                untold += 1
+                unexplained += 1
                 print(f"{path} {request} {kind}: NOT TOLD: {step}")
                 continue
             cause = event.get("reason") or event.get("cause") or event.get("outcome") or ""
             print(f"{path} {request} {kind}: {step} <- {event['instance']} {event['event']} {cause}")
-    print(f"{untold} not told")
-    return 1 if untold else 0
+    print(f"{unexplained} not told")
+    return 1 if unexplained else 0
 
 
 if __name__ == "__main__":
--- a/scripts/loss-table.py
+++ b/scripts/loss-table.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""Says of a played day why requests were late or failed, by kind of request and by span of time.
+"""Tabulates why requests of a played day were late or failed, by kind of request and by span of time.
 
 Usage: loss-table.py LOG [SPAN_SECONDS]
 
-LOG holds the lines of all instances, each after the simulated time and the instance's name. Kinds
-are told apart by their objective. Each request has one cause, so a kind's causes add up to its
-requests; what can't be told is a cause of its own. Last come the calls to the platform's tables.
+LOG holds the lines of all instances, each preceded by the simulated time and the instance's name. Kinds
+are distinguished by their objective. Each request has one cause, so the causes of a kind add up to its
+requests; an unknown cause is counted as such. The last table shows the calls to the platform's tables.
 """
 
 import collections
